--- a/jaysched/advice.go
+++ b/jaysched/advice.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// adviceAtOnce bounds the workers in one request: the advisor takes longer
-	// for each worker that is named, and asks are answered one by one.
-	adviceAtOnce = 30
-	// adviceSpare is how many workers are asked about for each task that waits:
-	// some of them must not run the step.
-	adviceSpare = 2
-	// adviceLeast is how many are asked about at least.
-	adviceLeast = 4
-	// advicePause is before a request that failed is asked again.
-	advicePause = 100 * time.Millisecond
-	// ticketMargin is how long before its end a ticket is not used any more: a
-	// start takes some milliseconds on its way.
+	// maxAdviceWorkers limits the workers in one request: the advisor takes longer for each
+	// worker named, and requests are answered one at a time.
+	maxAdviceWorkers = 30
+	// adviceWorkersPerTask is how many workers are asked about for each waiting task: some of
+	// them must not run the step.
+	adviceWorkersPerTask = 2
+	// minAdviceWorkers is the minimum number of workers asked about.
+	minAdviceWorkers = 4
+	// adviceRetryDelay is the delay before a failed request is repeated.
+	adviceRetryDelay = 100 * time.Millisecond
+	// ticketMargin is how long before its expiry a ticket is no longer used: a start takes some
+	// milliseconds to arrive.
 	ticketMargin = 150 * time.Millisecond
 )
 
@@ -32,31 +32,31 @@
 
 func (AskAdvice) isAction() {}
 
-// advice is what the advisor has said of a step. What it says of a worker does
-// not change, but its tickets expire.
+// advice is what the advisor has answered about a step. Its answer about a worker does not
+// change, but its tickets expire.
 type advice struct {
 	tickets map[string]ticket
-	// refused are workers that must not run the step.
+	// refused holds the workers that must not run the step.
 	refused map[string]bool
 	asking  bool
 	askAt   time.Duration
 }
 
-// ticket is the advisor's leave for one worker.
+// ticket is the advisor's permission for one worker.
 type ticket struct {
 	text  string
 	until time.Duration
 }
 
-// ticketFor returns the ticket of a worker, or false if it has none that holds.
+// ticketFor returns the ticket of a worker, or false if it has no valid one.
 func (s *step) ticketFor(worker string, now time.Duration) (string, bool) {
 	t, ok := s.advice.tickets[worker]
 	return t.text, ok && now+ticketMargin < t.until
 }
 
-// seekAdvice asks about workers if those that may run the step have no room for
-// all that waits. It asks about few, those with the most room.
-func (p *Pool) seekAdvice(s *step, now time.Duration) {
+// requestAdvice asks about workers if those that may run the step lack room for all waiting
+// tasks. It asks only about a few, those with the most free room.
+func (p *Pool) requestAdvice(s *step, now time.Duration) {
 	if s.advice.asking || now < s.advice.askAt {
 		return
 	}
@@ -76,7 +76,7 @@
 		return
 	}
 	slices.SortStableFunc(unknown, func(a, b *worker) int { return cmp.Compare(b.free.ProcessorsMilli, a.free.ProcessorsMilli) })
-	count := min(len(unknown), adviceAtOnce, max(adviceLeast, adviceSpare*missing))
+	count := min(len(unknown), maxAdviceWorkers, max(minAdviceWorkers, adviceWorkersPerTask*missing))
 	ask := AskAdvice{Step: s.id}
 	for _, w := range unknown[:count] {
 		ask.Workers = append(ask.Workers, w.ID)
@@ -85,8 +85,8 @@
 	p.actions = append(p.actions, ask)
 }
 
-// Advised takes in the answer to a request that was asked at a time. Without
-// an answer the same is asked again.
+// Advised handles the answer to a request that was sent at the time asked. A failed request is
+// repeated.
 func (p *Pool) Advised(a AskAdvice, got jayport.Advice, err error, asked, now time.Duration) {
 	s := p.stepOf(a.Step)
 	if s == nil {
@@ -94,12 +94,12 @@
 	}
 	s.advice.asking = false
 	if err != nil {
-		s.advice.askAt = now + advicePause
+		s.advice.askAt = now + adviceRetryDelay
 		return
 	}
 	for _, id := range a.Workers {
 		if w, known := p.workers[id]; known && w.joinedAt > asked {
-			// A ticket holds for the incarnation of the worker that it was given for.
+			// A ticket is valid only for the incarnation of the worker that it was issued for.
 			continue
 		}
 		if text, good := got.Tickets[id]; good {
@@ -110,7 +110,7 @@
 	}
 }
 
-// forgetAdvice forgets what the advisor said of an incarnation of a worker that has ended.
+// forgetAdvice discards the advice about an incarnation of a worker that has ended.
 func (p *Pool) forgetAdvice(w *worker) {
 	for _, j := range p.open {
 		if !j.advised {
--- a/jaysched/bounds_test.go
+++ b/jaysched/bounds_test.go
@@ -95,7 +95,7 @@
 	// A worker's clock may be two percent slow: a lease of ten seconds may last 10.2.
 	is := is.New(t)
 	w := newWorker(jayport.Worker{ID: "w"}, 0)
-	w.seeClock(time.Hour, time.Minute)
+	w.recordClock(time.Hour, time.Minute)
 	is.Equal(w.leaseUntil(time.Minute, 10*time.Second), time.Hour+10*time.Second)
 	is.True(w.leaseBound >= time.Minute+10200*time.Millisecond)
 	is.True(w.leaseBound <= time.Minute+10250*time.Millisecond)
@@ -103,12 +103,12 @@
 
 func TestBoundsOfReports(t *testing.T) {
 	t.Run("an idle worker may hold its report back for a second", func(t *testing.T) {
-		is.New(t).Equal(newWorld(t, 1).pool.workers["w0"].mayWait(), time.Second)
+		is.New(t).Equal(newWorld(t, 1).pool.workers["w0"].reportWait(), time.Second)
 	})
 	t.Run("one whose runs end soon for 0.4 s", func(t *testing.T) {
 		w := newWorld(t, 1)
 		declare(w, newSpec("j", 1))
-		is.New(t).Equal(w.pool.workers["w0"].mayWait(), 400*time.Millisecond)
+		is.New(t).Equal(w.pool.workers["w0"].reportWait(), 400*time.Millisecond)
 	})
 	// pause is how long the pool leaves a worker alone after something has happened.
 	pause := func(happened func(w *world)) time.Duration {
@@ -166,7 +166,7 @@
 	})
 	holds(t, "an unhealthy one for 0.5 s", 500*time.Millisecond, func(after time.Duration) bool {
 		var h health
-		h.refused(jayport.RefusedUnhealthy, 0)
+		h.recordRefusal(jayport.RefusedUnhealthy, 0)
 		return h.avoided(after)
 	})
 	t.Run("one failure is no reason", func(t *testing.T) {
@@ -185,7 +185,7 @@
 func failing(times int) *health {
 	h := &health{}
 	for n := range times {
-		h.failed(jayport.StepID{Job: fmt.Sprint(n)}, 0)
+		h.recordFailure(jayport.StepID{Job: fmt.Sprint(n)}, 0)
 	}
 	return h
 }
@@ -198,7 +198,7 @@
 		spec := newSpec("j", 1, tasks(1, 1000, 100), func(s *jayspec.Step) { s.Checkpoint, s.Estimate = true, left })
 		spec.Policy.Stretch, spec.Policy.Objective = 1, slack
 		declare(w, spec)
-		return w.pool.mayMigrate(w.pool.workers["w0"].inOrder[0], w.pool.jobs["j"].since)
+		return w.pool.mayMigrate(w.pool.workers["w0"].inOrder[0], w.pool.jobs["j"].submittedAt)
 	}
 	holds(t, "a run that ends within 0.9 s stays", 900*time.Millisecond, func(left time.Duration) bool {
 		return mayMigrate(left, time.Minute)
@@ -211,7 +211,7 @@
 		spec := newSpec("j", 1, tasks(1, 1000, 100), func(s *jayspec.Step) { s.Checkpoint, s.Estimate = true, 5*time.Second })
 		spec.Policy.Objective = time.Minute
 		declare(w, spec)
-		is.New(t).Equal(w.pool.emptyIn(w.pool.workers["w0"].inOrder[0], w.now), 250*time.Millisecond)
+		is.New(t).Equal(w.pool.timeToEmpty(w.pool.workers["w0"].inOrder[0], w.now), 250*time.Millisecond)
 	})
 	holds(t, "a new owner stops nothing for 0.8 s after a worker's first report", 800*time.Millisecond, func(after time.Duration) bool {
 		w := newWorld(t, 1, WithFence(9, 2))
@@ -243,29 +243,29 @@
 		is.True(g.growth(2000, time.Second, 200*time.Millisecond) > 0)
 	})
 	t.Run("the rate is that of the last twelve jobs", func(t *testing.T) {
-		var o offered
+		var o offeredWork
 		now := 10 * time.Second
 		for n := 19; n >= 0; n-- {
 			work := 1.0
 			if n < 7 {
 				work = 10
 			}
-			o.note(arrival{at: now - time.Duration(n)*100*time.Millisecond, work: work, chain: time.Second})
+			o.add(arrival{at: now - time.Duration(n)*100*time.Millisecond, work: work, chain: time.Second})
 		}
 		rate, _ := o.rate(now)
 		is.New(t).True(rate > 60 && rate < 65) // seven of ten and five of one in 1.2 s
 	})
 	t.Run("over half a second at least, if they come together", func(t *testing.T) {
-		var o offered
+		var o offeredWork
 		for range 20 {
-			o.note(arrival{at: time.Minute, work: 1, chain: time.Second})
+			o.add(arrival{at: time.Minute, work: 1, chain: time.Second})
 		}
 		rate, _ := o.rate(time.Minute)
 		is.New(t).Equal(rate, 40.0)
 	})
 	holds(t, "over two seconds at most", 2*time.Second, func(after time.Duration) bool {
-		var o offered
-		o.note(arrival{at: time.Minute, work: 1, chain: time.Second})
+		var o offeredWork
+		o.add(arrival{at: time.Minute, work: 1, chain: time.Second})
 		rate, _ := o.rate(time.Minute + after)
 		return rate > 0
 	})
@@ -284,15 +284,15 @@
 		declare(w, newSpec("j", 1))
 		s := w.pool.jobs["j"].occurrences[0].steps[0]
 		for range 5 {
-			w.pool.times.learn(s, 2*time.Second)
+			w.pool.times.observe(s, 2*time.Second)
 		}
-		learned := w.pool.times.of("q", time.Second)
+		learned := w.pool.times.predict("q", time.Second)
 		is.True(learned > 1380*time.Millisecond && learned < 1450*time.Millisecond)
 	})
 	t.Run("the shortest time that is told apart is 10 ms", func(t *testing.T) {
 		is := is.New(t)
-		is.Equal(logOf(5*time.Millisecond), logOf(10*time.Millisecond))
-		is.True(logOf(11*time.Millisecond) > logOf(10*time.Millisecond))
+		is.Equal(logSeconds(5*time.Millisecond), logSeconds(10*time.Millisecond))
+		is.True(logSeconds(11*time.Millisecond) > logSeconds(10*time.Millisecond))
 	})
 }
 
@@ -302,14 +302,14 @@
 	})
 	t.Run("prospects are reviewed ten times a second", func(t *testing.T) {
 		w := newWorld(t, 1)
-		w.pool.reviewAt = 0
-		w.pool.reviewProspects(w.now)
-		is.New(t).Equal(w.pool.reviewAt-w.now, 100*time.Millisecond)
+		w.pool.deadlineReviewAt = 0
+		w.pool.reviewDeadlines(w.now)
+		is.New(t).Equal(w.pool.deadlineReviewAt-w.now, 100*time.Millisecond)
 	})
 	holds(t, "a job is of use for three times its time", 9*time.Second-time.Second, func(after time.Duration) bool {
 		w := newWorld(t, 0)
 		declare(w, newSpec("j", 1))
-		return w.pool.prospectOf(w.pool.jobs["j"], w.now+after) == expired
+		return w.pool.deadlineStatusOf(w.pool.jobs["j"], w.now+after) == expired
 	})
 	holds(t, "a worker is kept free for a long-running task after 1.7 s", 1700*time.Millisecond, func(after time.Duration) bool {
 		w := newWorld(t, 1)
@@ -396,7 +396,7 @@
 	})
 	t.Run("they are let go by a quarter", func(t *testing.T) {
 		p := throttle{slowed: 100}
-		p.letGo(0)
+		p.speedUp(0)
 		is.New(t).Equal(p.slowed, 75)
 	})
 	holds(t, "what stood still for 3 s in vain is let go", 3*time.Second, func(after time.Duration) bool {
@@ -428,10 +428,10 @@
 		declare(w, long)
 		for range 10 {
 			for _, id := range []string{"short", "long"} {
-				w.pool.times.learn(w.pool.jobs[id].occurrences[0].steps[0], 2*time.Second)
+				w.pool.times.observe(w.pool.jobs[id].occurrences[0].steps[0], 2*time.Second)
 			}
 		}
-		ratio := w.pool.times.of("q", 4*time.Second).Seconds() / w.pool.times.of("q", time.Second).Seconds()
+		ratio := w.pool.times.predict("q", 4*time.Second).Seconds() / w.pool.times.predict("q", time.Second).Seconds()
 		is.True(ratio > 1.15 && ratio < 1.22)
 	})
 }
--- a/jaysched/capacity_test.go
+++ b/jaysched/capacity_test.go
@@ -58,7 +58,7 @@
 		declare(w, newSpec("k", 1, single))
 		is.Equal(w.starts("k.0.0.0"), 0)
 		w.lose = func(Action) bool { return false }
-		w.pass(resendPause)
+		w.pass(resendDelay)
 		w.reports()
 		is.Equal(w.starts("k.0.0.0"), 1)
 	})
@@ -88,7 +88,7 @@
 		declare(w, newSpec("j", 1, single))
 		w.offer("w0", 500, 1000)
 		w.sent = nil
-		w.pass(resendPause)
+		w.pass(resendDelay)
 		is.Equal(count[StartRun](w.sent), 0)
 		is.Equal(count[StopRun](w.sent), 1)
 		w.lose = func(Action) bool { return false }
@@ -154,15 +154,15 @@
 		}
 	}
 	is.True(refused < 50) // four at once, each time after a longer pause
-	is.True(w.pool.workers["w0"].fullFor == mostFullPause)
+	is.True(w.pool.workers["w0"].fullFor == maxFullTime)
 	t.Run("a start that it takes ends the doubt", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1)
 		w.pool.Declare(newSpec("j", 1, single), w.now)
 		first := w.pool.Decide(w.now)[0].(StartRun)
 		w.pool.StartAnswered(first.To, first.Order.Run, w.now, &jayport.RefusedError{Reason: jayport.RefusedNoRoom}, w.now)
-		is.Equal(w.pool.workers["w0"].fullFor, refusedPause)
-		w.pass(refusedPause)
+		is.Equal(w.pool.workers["w0"].fullFor, refusedRetryDelay)
+		w.pass(refusedRetryDelay)
 		is.Equal(len(w.running()), 1)
 		is.Equal(w.pool.workers["w0"].fullFor, time.Duration(0))
 	})
--- a/jaysched/crash_test.go
+++ b/jaysched/crash_test.go
@@ -228,7 +228,7 @@
 	spec := newSpec("j", 1, single)
 	loseOwner := func(t *testing.T, w *world, term int64) *world {
 		t.Helper()
-		w.livesOn(recordPause)
+		w.livesOn(recordDelay)
 		progress := w.pool.jobs["j"].progress()
 		next := newWorld(t, 0, WithFence(term, term), WithFormerOwner(w.now+15*time.Second))
 		next.now, next.workers, next.sent = w.now, w.workers, w.sent
--- /dev/null
+++ b/jaysched/deadline.go
@@ -0,0 +1,147 @@
+package jaysched
+
+import (
+	"slices"
+	"time"
+)
+
+// deadlineStatus is whether a job can still be useful to its caller, in the order in which jobs
+// are served.
+type deadlineStatus uint8
+
+const (
+	// onTime jobs can be done by their target.
+	onTime deadlineStatus = iota
+	// late jobs can be done while the result is still of use.
+	late
+	// expired jobs will be done too late for their callers, in whatever order jobs are served.
+	expired
+)
+
+const (
+	// reviewInterval is the time between two reviews of the open jobs' deadline status.
+	reviewInterval = 100 * time.Millisecond
+	// overloadedAfter is the multiple of the time a host takes to arrive for which tasks must
+	// have lacked room before a pool counts as overloaded: until then hosts may arrive.
+	overloadedAfter = 2.5
+)
+
+// reviewDeadlines determines the deadline status of each open job and sorts the queue by it.
+//
+// It handles this load: for longer than a job can wait, more work arrives than all workers can
+// do. Served by their targets alone, all jobs become slightly late, one after the other, and
+// later the longer the load lasts. Jobs that can be on time are served first, so that as many
+// are on time as the workers can do; jobs that are of no use any more are served last.
+func (p *Pool) reviewDeadlines(now time.Duration) {
+	if now < p.deadlineReviewAt {
+		return
+	}
+	p.deadlineReviewAt = now + reviewInterval
+	overloaded := p.overloaded(now)
+	changed := false
+	for _, j := range p.open {
+		was := j.deadlineStatus
+		j.deadlineStatus = onTime
+		if overloaded {
+			j.deadlineStatus = p.deadlineStatusOf(j, now)
+		}
+		changed = changed || j.deadlineStatus != was
+	}
+	if changed {
+		slices.SortStableFunc(p.open, compareJobs)
+	}
+}
+
+// overloaded reports whether tasks have lacked room for long, and are too many to be done in
+// time. Otherwise the order by target is better: the durations of jobs are not known well, and
+// one that seems late may still be on time.
+func (p *Pool) overloaded(now time.Duration) bool {
+	if !p.crowded {
+		p.lastRoomAt = now
+	}
+	overdue := time.Duration(overloadedAfter * float64(p.settings.MoveTime+reportDelay))
+	return now-p.lastRoomAt > overdue && p.backlogged()
+}
+
+// backlogged reports whether the waiting work takes the pool's workers longer than the time its
+// jobs have.
+func (p *Pool) backlogged() bool {
+	work, allowed, count := 0.0, 0.0, 0.0
+	for _, j := range p.open {
+		if j.longRunning || j.spec.Schedule.Timed() || j.deadlineStatus == expired {
+			continue
+		}
+		work += p.waitingWork(j)
+		allowed += (j.target - j.submittedAt).Seconds()
+		count++
+	}
+	room := 0.0
+	for _, w := range p.sorted {
+		if w.usable() {
+			room += float64(w.roomBesideLongRuns().ProcessorsMilli)
+		}
+	}
+	return count > 0 && work*count > allowed*max(1, room)
+}
+
+// waitingWork returns the work of a job's waiting tasks, in thousandths of a core times
+// seconds.
+func (p *Pool) waitingWork(j *job) float64 {
+	work := 0.0
+	for _, s := range j.occurrences[0].steps {
+		takes := p.times.predict(j.spec.Queue, s.decl.Estimate)
+		work += float64(s.waiting) * float64(needOf(s).ProcessorsMilli) * takes.Seconds()
+	}
+	return work
+}
+
+// deadlineStatusOf returns the deadline status of a job if it is served from now on.
+// Long-running jobs and those with scheduled times have no target.
+func (p *Pool) deadlineStatusOf(j *job, now time.Duration) deadlineStatus {
+	if j.longRunning || j.spec.Schedule.Timed() {
+		return onTime
+	}
+	ends := now + p.remainingOccurrenceTime(j.occurrences[0], now)
+	switch {
+	case ends <= j.target:
+		return onTime
+	case ends <= j.submittedAt+maxLateFactor*(j.target-j.submittedAt):
+		return late
+	default:
+		return expired
+	}
+}
+
+// remainingOccurrenceTime returns the expected remaining time of an occurrence if all its
+// waiting tasks are served from now on.
+func (p *Pool) remainingOccurrenceTime(o *occurrence, now time.Duration) time.Duration {
+	longest := time.Duration(0)
+	left := make([]time.Duration, len(o.steps))
+	for n := len(o.steps) - 1; n >= 0; n-- {
+		s := o.steps[n]
+		if s.open == 0 {
+			continue
+		}
+		for _, next := range s.successors {
+			left[n] = max(left[n], left[next.id.Step])
+		}
+		left[n] += p.remainingStepTime(s, now)
+		longest = max(longest, left[n])
+	}
+	return longest
+}
+
+// remainingStepTime returns the expected remaining time of a step, from its beginning or from
+// now.
+func (p *Pool) remainingStepTime(s *step, now time.Duration) time.Duration {
+	if s.waiting > 0 {
+		return p.times.predict(s.job.spec.Queue, s.decl.Estimate)
+	}
+	left := time.Duration(0)
+	for _, t := range s.tasks {
+		for _, r := range t.runs {
+			left = max(left, p.remainingTime(r, now))
+		}
+	}
+	return left
+}
--- a/jaysched/decide.go
+++ b/jaysched/decide.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// resendPause is before an order without an answer is sent again. The
-	// answer to an order takes some milliseconds.
-	resendPause = 100 * time.Millisecond
-	// answerLost is when an order whose outcome was not reported is given up.
-	answerLost = 5 * time.Second
-	// runsPerTerm is the room for run numbers of one owner: each owner's
-	// numbers are above those of the owners before it, whether it knows of
-	// their runs or not.
-	runsPerTerm = 10_000
+	// resendDelay is the delay before an order without an answer is sent again. The answer to
+	// an order takes some milliseconds.
+	resendDelay = 100 * time.Millisecond
+	// unreportedTimeout is the time after which an order whose outcome the owner was not told
+	// counts as unanswered.
+	unreportedTimeout = 5 * time.Second
+	// runNumbersPerTerm is the number of run numbers reserved for one owner: each owner's
+	// numbers are above those of all previous owners, whether it knows their runs or not.
+	runNumbersPerTerm = 10_000
 )
 
-// Decide returns what is to be done now.
+// Decide returns the actions that are due now.
 func (p *Pool) Decide(now time.Duration) []Action {
 	p.confirmOwner(now)
-	if p.ownership.lost(now) {
+	if p.ownership.lapsed(now) {
 		// Another owner may have waited for this one's leases to end.
 		return p.takeActions()
 	}
 	p.expireLeases(now)
 	p.resend(now)
 	p.vacate(now)
-	p.reviewProspects(now)
+	p.reviewDeadlines(now)
 	p.place(now)
 	p.throttleBestEffort(now)
 	p.renewLeases(now)
@@ -42,22 +42,21 @@
 	return actions
 }
 
-// expireLeases gives up the runs of silent workers whose lease must have
-// ended, so that their tasks can start elsewhere.
+// expireLeases gives up the runs of silent workers whose lease must have ended, so that their
+// tasks can start elsewhere.
 func (p *Pool) expireLeases(now time.Duration) {
 	var left []*worker
 	for _, w := range p.sorted {
-		if w.contact == silent && now >= w.leaseBound && p.ownership.since(w.leaseBound) {
+		if w.contact == silent && now >= w.leaseBound && p.ownership.confirmedSince(w.leaseBound) {
 			w.contact = lapsed
-			w.lapsed, w.lapsedAtStart = w.suspects()
+			w.lapsedSuspects, w.lapsedSuspectsAtStart = w.suspects()
 			p.note(Note{Kind: WorkerLapsed, Worker: w.ID, Since: w.heardAt}, now)
-			p.lose(w, "its lease has ended", now)
+			p.loseRuns(w, "its lease has ended", now)
 		}
-		// A worker that has left the list and does not answer is not asked for
-		// ever: each try is a new connection to an address that may be another
-		// worker's by now.
-		// While tasks are held back, though, one that never reported may be what
-		// they wait for.
+		// A worker that is no longer listed and does not answer is not asked forever: each
+		// attempt is a new connection to an address that may belong to another worker by now.
+		// While tasks are held for runs of a previous owner, however, a worker that never
+		// reported may have such a run.
 		mayRun := w.contact == unconfirmed && now < p.heldUntil
 		if !w.listed && w.contact != connected && len(w.runs) == 0 && !mayRun {
 			left = append(left, w)
@@ -88,9 +87,9 @@
 		return
 	}
 	switch r.phase {
-	case unsure:
+	case unanswered:
 		if r.worker.overCommitted() {
-			// It may have been carried out; if not, there is no room for it any more.
+			// The start may have been carried out; if not, there is no room for it any more.
 			p.stop(r, "noRoomAnyMore", now)
 			return
 		}
@@ -99,15 +98,15 @@
 		r.resendAfter(now)
 		p.actions = append(p.actions, StopRun{To: r.worker.workerRef(), Run: r.ref(), Why: r.stopWhy})
 	case ordered:
-		// Its answer went astray inside this program.
-		if now >= r.resendAt+answerLost {
-			r.phase = unsure
+		// The answer was lost inside this process.
+		if now >= r.resendAt+unreportedTimeout {
+			r.phase = unanswered
 		}
 	case running, stopped:
 	}
 }
 
-// sendStart orders a run, or orders it again.
+// sendStart sends the start order of a run, or repeats it.
 func (p *Pool) sendStart(r *run, now time.Duration) {
 	r.attempt++
 	r.phase = ordered
@@ -132,56 +131,56 @@
 	if t.step.job.advised {
 		r.ticket, _ = t.step.ticketFor(w.ID, now)
 	}
-	p.mayStart--
-	t.last = number
-	t.take(r)
+	p.startsLeft--
+	t.lastRun = number
+	t.addRun(r)
 	w.add(r)
 	p.note(Note{Kind: RunStarted, Worker: w.ID, Run: r.ref(), Since: now - w.heardAt, Waited: now - t.step.readyAt}, now)
 	p.sendStart(r, now)
 }
 
-// fullSpeed is the speed of a run that is not slowed down, in percent.
+// fullSpeed is the speed, in percent, of a run that is not throttled.
 const fullSpeed = 100
 
-// nextRun is the number of a task's next run.
+// nextRun returns the number of a task's next run.
 func (p *Pool) nextRun(last int64) int64 {
-	return max(last+1, (p.term-1)*runsPerTerm+1)
+	return max(last+1, (p.term-1)*runNumbersPerTerm+1)
 }
 
 const (
-	// leaseWait is for how long a worker may hold back its report until a run
-	// ends, and busyWait the same while it has runs that end soon. It bounds how
-	// late a silent worker is noticed, and an end whose report was lost.
-	leaseWait = time.Second
-	busyWait  = 400 * time.Millisecond
-	// unrecordedPause is before a worker is asked again whose ends are not
-	// recorded yet, or that lists what cannot be read or is not known: it would
-	// answer with the same at once.
-	unrecordedPause = 100 * time.Millisecond
-	// silentPause is before a silent worker is asked again.
-	silentPause = 200 * time.Millisecond
-	// silentAfter is how many reports in a row must be missing before a worker
-	// counts as silent.
+	// idleReportWait is how long a worker without short runs may delay its report until a run
+	// ends, and busyReportWait the same for a worker with runs that end soon. They limit how
+	// late a silent worker is noticed, and how late an end whose report was lost.
+	idleReportWait = time.Second
+	busyReportWait = 400 * time.Millisecond
+	// unrecordedDelay is the delay before the next request to a worker whose ends are not
+	// recorded yet, or whose report has unreadable or unknown rows: it would give the same
+	// answer immediately.
+	unrecordedDelay = 100 * time.Millisecond
+	// silentRetryDelay is the delay before a silent worker is asked again.
+	silentRetryDelay = 200 * time.Millisecond
+	// silentAfter is the number of consecutive missing reports after which a worker counts as
+	// silent.
 	silentAfter = 2
 )
 
-// mayWait is for how long the worker may hold back its next report: not at all if
-// it would answer at once anyway, or if the one before is missing. One with a suspect is
-// to show soon that it lives on.
-func (w *worker) mayWait() time.Duration {
+// reportWait returns how long the worker may delay its next report: not at all if it would
+// answer immediately anyway, or if its previous report is missing. A worker with a suspect must
+// show soon that it has survived.
+func (w *worker) reportWait() time.Duration {
 	switch {
 	case w.processed != w.acknowledged || w.missingReports > 0 || len(w.unknownJobs) > 0:
 		return 0
 	case w.suspected > 0:
 		return settleTime
 	case slices.ContainsFunc(w.inOrder, func(r *run) bool { return !r.task.step.decl.LongRunning }):
-		return busyWait
+		return busyReportWait
 	default:
-		return leaseWait
+		return idleReportWait
 	}
 }
 
-// renewLeases asks each worker that is not being asked.
+// renewLeases sends a lease renewal to each worker without a pending one.
 func (p *Pool) renewLeases(now time.Duration) {
 	for _, w := range p.sorted {
 		if w.asking || now < w.askAt {
@@ -189,10 +188,10 @@
 		}
 		order := jayport.LeaseOrder{Fence: p.fence, Acknowledged: w.acknowledged}
 		if w.contact == connected {
-			order.Wait = w.mayWait()
+			order.Wait = w.reportWait()
 		}
-		// A worker that may have fallen silent gets no longer lease: its tasks would
-		// start elsewhere that much later.
+		// The lease of a worker that may have become silent is not extended: its tasks would
+		// start elsewhere later by as much.
 		if w.contact == connected && w.missingReports == 0 {
 			order.LeaseUntil = w.leaseUntil(now, p.settings.Lease)
 		}
--- a/jaysched/demand.go
+++ b/jaysched/demand.go
@@ -7,60 +7,61 @@
 	"jaythread/jaypool"
 )
 
-// Load is what one worker carries.
+// Load is the load of one worker.
 type Load struct {
 	Worker string
-	// CapacityMilli is what the worker offers at present, in thousandths of a core.
+	// CapacityMilli is the present capacity of the worker in thousandths of a core.
 	CapacityMilli int64
 	UsedMilli     int64
-	// Runs counts the runs that are there. One more stands for ends of tasks
-	// that are done and not recorded: they would be lost with the worker.
+	// Runs counts the worker's runs. It is one higher while the worker holds unrecorded ends of
+	// tasks that are done: those would be lost with the worker.
 	Runs     int
 	LongRuns int
-	// Vacated says that the worker is closed and nothing runs there.
+	// Vacated says that the worker is closed and has no runs.
 	Vacated bool
-	// Idle is for how long nothing has run there.
+	// Idle is how long the worker has had no runs.
 	Idle time.Duration
-	// EmptyIn is how long the worker should take to become empty if its runs
-	// are migrated, or Never.
+	// EmptyIn is the expected time until the worker is empty if its runs are migrated, or
+	// Never.
 	EmptyIn time.Duration
 }
 
-// Never is the time until a worker is empty on which a long-running task runs.
+// Never is the time until a worker with a long-running task is empty.
 const Never = time.Duration(math.MaxInt64)
 
-// Demand is what a pool needs of the fleet.
+// Demand is what a pool needs from the fleet.
 type Demand struct {
-	// NeedMilli is how many thousandths of a core the pool could use soon;
-	// SpareMilli is what more it may need by chance.
+	// NeedMilli is how many thousandths of a core the pool could use soon; SpareMilli is how
+	// much more it may need by random variation.
 	NeedMilli  int64
 	SpareMilli int64
-	// ExpiredMilli is how much of it is for jobs that are of no use to their callers any more.
+	// ExpiredMilli is the part of the need that belongs to jobs whose results come too late for
+	// their callers.
 	ExpiredMilli int64
-	// WorkersAtLeast is how many workers it needs whatever their size.
+	// WorkersAtLeast is the minimum number of workers that the pool needs, whatever their size.
 	WorkersAtLeast int
 	Loads          []Load
 }
 
-// Vacate is a worker that is to get no new run. Urgent ones have their runs
-// stopped where that loses little.
+// Vacate is an order to start no run on a worker. If it is urgent, the worker's runs are
+// stopped too, long-running ones only where their step can miss them.
 type Vacate struct {
 	Worker string
 	Urgent bool
-	// Migrate lets runs be stopped that can go on elsewhere from their
-	// checkpoint without making their job late.
+	// Migrate allows stopping runs that can continue elsewhere from their checkpoint without
+	// making their job late.
 	Migrate bool
 }
 
-// Demand returns what the pool needs now.
+// Demand returns the pool's present demand.
 func (p *Pool) Demand(now time.Duration) Demand {
-	u := p.use(now)
-	lead := p.settings.MoveTime + reportWay
+	u := p.usage(now)
+	lead := p.settings.MoveTime + reportDelay
 	spread := int64(math.Sqrt(u.variance))
-	// In the middle of a rush, use goes up and down by chance; each time it went
-	// up, a third more hosts than needed came. So only what exceeds chance counts.
+	// Within a load spike, usage varies randomly; extrapolating each rise called a third more
+	// hosts than needed. Only growth beyond the random variation is counted.
 	growth := max(0, p.trend.growth(u.milli, lead, now)-spread)
-	need := max(u.milli+growth, p.offered.ahead(u.milli, lead, now)) + p.blocked(u.short)
+	need := max(u.milli+growth, p.offeredWork.forecast(u.milli, lead, now)) + p.blockedByMemory(u.shortTasks)
 	d := Demand{NeedMilli: need, SpareMilli: spread, ExpiredMilli: u.expired, WorkersAtLeast: p.workersAtLeast(now)}
 	for _, w := range p.sorted {
 		if w.contact == connected && w.listed && !w.Draining {
@@ -70,37 +71,36 @@
 	return d
 }
 
-// use is what the tasks that run or could run now take, in thousandths of a
-// core.
-type use struct {
+// usage is what the tasks that run or could run now need, in thousandths of a core.
+type usage struct {
 	milli int64
-	// expired is the part of it of jobs that are of no use to their callers any more.
+	// expired is the part that belongs to jobs whose results come too late for their callers.
 	expired int64
-	// short is what those of them need together that are not long-running.
-	short jaypool.Resources
-	// variance is by how much the sum differs from one moment to another because
-	// jobs come one by one: that of a sum of so many independent jobs.
+	// shortTasks is what the tasks that are not long-running need together.
+	shortTasks jaypool.Resources
+	// variance is the variance of the sum because jobs arrive one at a time: that of a sum of
+	// as many independent jobs.
 	variance float64
 }
 
-func (p *Pool) use(now time.Duration) use {
-	var total use
+func (p *Pool) usage(now time.Duration) usage {
+	var total usage
 	for _, j := range p.open {
-		need := j.use(now)
+		need := j.usage(now)
 		total.milli += need.ProcessorsMilli
-		if j.prospect == expired {
+		if j.deadlineStatus == expired {
 			total.expired += need.ProcessorsMilli
 		}
 		if !j.longRunning {
-			total.short = total.short.Add(need)
+			total.shortTasks = total.shortTasks.Add(need)
 			total.variance += float64(need.ProcessorsMilli) * float64(need.ProcessorsMilli)
 		}
 	}
 	return total
 }
 
-// use is what a job's tasks need together that run or could run now.
-func (j *job) use(now time.Duration) jaypool.Resources {
+// usage returns what the tasks of a job that run or could run now need together.
+func (j *job) usage(now time.Duration) jaypool.Resources {
 	var total jaypool.Resources
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
@@ -123,7 +123,7 @@
 			l.EmptyIn = Never
 			continue
 		}
-		l.EmptyIn = max(l.EmptyIn, p.emptyIn(r, now))
+		l.EmptyIn = max(l.EmptyIn, p.timeToEmpty(r, now))
 	}
 	if l.Runs == 0 {
 		l.Idle = now - w.idleSince
@@ -132,7 +132,7 @@
 	return l
 }
 
-// SetVacating closes the workers named and opens all others again.
+// SetVacating closes the named workers and opens all others.
 func (p *Pool) SetVacating(orders []Vacate, now time.Duration) {
 	for _, w := range p.sorted {
 		w.open()
@@ -144,15 +144,15 @@
 			w.vacate(o)
 		}
 	}
-	p.vacatingUntil = now + vacatingTime
+	p.vacatingUntil = now + vacateOrderTTL
 }
 
-// vacatingTime is for how long an order to vacate holds. The fleet's owner
-// repeats it several times a second; after its loss the workers are used again.
-const vacatingTime = 2 * time.Second
+// vacateOrderTTL is how long an order to vacate is valid. The fleet's owner repeats it several
+// times a second; once that owner is lost the workers are used again.
+const vacateOrderTTL = 2 * time.Second
 
-// vacate opens workers whose order has expired and moves long-running tasks
-// off those that are closed or drain.
+// vacate opens workers whose order has expired and stops those runs on closed or draining
+// workers that should move.
 func (p *Pool) vacate(now time.Duration) {
 	if now >= p.vacatingUntil {
 		for _, w := range p.sorted {
@@ -164,7 +164,7 @@
 			continue
 		}
 		for _, r := range w.inOrder {
-			if r.phase == running && p.shouldLeave(r, now) {
+			if r.phase == running && p.shouldStop(r, now) {
 				p.note(Note{Kind: RunStopped, Worker: w.ID, Run: r.ref(), Detail: "vacating"}, now)
 				p.stop(r, "vacating", now)
 			}
@@ -172,18 +172,18 @@
 	}
 }
 
-// vacate lets no run be started on a worker.
+// vacate closes a worker for new runs.
 func (w *worker) vacate(o Vacate) {
 	w.closed, w.urgent, w.migrate = true, o.Urgent, o.Migrate
 }
 
-// open lets runs be started on a worker again.
+// open allows new runs on a worker again.
 func (w *worker) open() {
 	w.closed, w.urgent, w.migrate = false, false, false
 }
 
-// shouldLeave reports whether a run on a closed worker is to be stopped now.
-func (p *Pool) shouldLeave(r *run, now time.Duration) bool {
+// shouldStop reports whether a run on a closed worker is to be stopped now.
+func (p *Pool) shouldStop(r *run, now time.Duration) bool {
 	switch {
 	case r.task.step.decl.LongRunning:
 		return p.mayEvict(r, now)
@@ -195,39 +195,38 @@
 }
 
 const (
-	// migrationTime is what a migration costs a run: its stop, and the time to
-	// resume elsewhere.
-	migrationTime = 900 * time.Millisecond
-	// migrationSlack is what its job must be able to wait beyond that.
+	// migrationCost is how much a migration delays a run: its stop, and the time to resume
+	// elsewhere.
+	migrationCost = 900 * time.Millisecond
+	// migrationSlack is the slack that its job must have beyond that.
 	migrationSlack = 600 * time.Millisecond
-	// stopTime is about how long a worker takes to stop a run.
-	stopTime = 250 * time.Millisecond
+	// typicalStopTime is roughly how long a worker takes to stop a run.
+	typicalStopTime = 250 * time.Millisecond
 )
 
-// lateFactor is up to how many times its time a job that is late still earns
-// something.
-const lateFactor = 3
+// maxLateFactor is the multiple of its allowed time up to which a late job is still of use.
+const maxLateFactor = 3
 
-// mayMigrate reports whether a run should go on elsewhere: it saves its
-// progress, it would run for longer than the move takes, its job is not made
-// late by it, or too late if it is late anyway, and there is room.
+// mayMigrate reports whether a run should continue elsewhere: it saves its progress, its
+// remaining time exceeds the cost of a migration, its job does not become late by it (or, if it
+// is late anyway, too late to be of use), and another worker has room.
 func (p *Pool) mayMigrate(r *run, now time.Duration) bool {
 	s := r.task.step
-	if !s.decl.Checkpoint || s.decl.Gang || p.leftOf(r, now) < migrationTime {
+	if !s.decl.Checkpoint || s.decl.Gang || p.remainingTime(r, now) < migrationCost {
 		return false
 	}
-	ends := now + p.leftOf(r, now)
+	ends := now + p.remainingTime(r, now)
 	bound := s.job.target
 	if ends > bound {
-		bound = s.job.since + lateFactor*(s.job.target-s.job.since)
+		bound = s.job.submittedAt + maxLateFactor*(s.job.target-s.job.submittedAt)
 	}
-	return bound-ends > migrationTime+migrationSlack && p.choose(r.task, now) != nil
+	return bound-ends > migrationCost+migrationSlack && p.chooseWorker(r.task, now) != nil
 }
 
-// leftOf is how long a run should still take. One that has outlasted its
-// estimate is taken to need as long again as it is over.
-func (p *Pool) leftOf(r *run, now time.Duration) time.Duration {
-	takes := p.times.of(r.task.step.job.spec.Queue, r.task.step.decl.Estimate)
+// remainingTime returns the expected remaining time of a run. A run that has exceeded its
+// estimate is expected to take as long again as it has exceeded it.
+func (p *Pool) remainingTime(r *run, now time.Duration) time.Duration {
+	takes := p.times.predict(r.task.step.job.spec.Queue, r.task.step.decl.Estimate)
 	ran := now - r.orderedAt
 	if ran < takes {
 		return takes - ran
@@ -235,36 +234,34 @@
 	return ran - takes
 }
 
-// emptyIn is how long a run should hold its worker if it may be migrated.
-func (p *Pool) emptyIn(r *run, now time.Duration) time.Duration {
+// timeToEmpty returns how long a run is expected to occupy its worker if it may be migrated.
+func (p *Pool) timeToEmpty(r *run, now time.Duration) time.Duration {
 	if p.mayMigrate(r, now) {
-		return stopTime
+		return typicalStopTime
 	}
-	return p.leftOf(r, now)
+	return p.remainingTime(r, now)
 }
 
-// mayEvict reports whether a run should be stopped so that its worker becomes
-// free: its step can miss one more task, and there is room for it elsewhere.
+// mayEvict reports whether a long-running run may be stopped so that its worker becomes free:
+// its step can miss one more task, and another worker has room for it.
 func (p *Pool) mayEvict(r *run, now time.Duration) bool {
 	s := r.task.step
-	if !s.decl.LongRunning || s.away() >= max(1, s.decl.MayMiss) || !p.stopsSettled(s, now) {
+	if !s.decl.LongRunning || s.unavailable() >= max(1, s.decl.MayMiss) || !p.stopsSettled(s, now) {
 		return false
 	}
-	return p.choose(r.task, now) != nil
+	return p.chooseWorker(r.task, now) != nil
 }
 
-// stopReported is how long the end of a stopped run takes to be reported, beyond
-// the stop itself.
-const stopReported = 600 * time.Millisecond
+// stopReportDelay is how long the report of a stopped run's end takes, beyond the stop itself.
+const stopReportDelay = 600 * time.Millisecond
 
-// stopsSettled reports whether no run of a step can still be ending by an order
-// of a former owner. A run that was told to stop is listed as active until it has
-// ended; a new owner that takes it for one at work stops more than the step can
-// miss.
+// stopsSettled reports whether no run of a step can still be ending by an order of a previous
+// owner. A run that was told to stop is listed as active until it has ended; a new owner that
+// counts it as available would stop more runs than the step can miss.
 func (p *Pool) stopsSettled(s *step, now time.Duration) bool {
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
-			if p.term > 1 && now < r.worker.answeredAt+p.settings.Stop+stopReported {
+			if p.term > 1 && now < r.worker.answeredAt+p.settings.Stop+stopReportDelay {
 				return false
 			}
 		}
@@ -272,20 +269,20 @@
 	return true
 }
 
-// away counts the tasks of a long-running step that are not at work.
-func (s *step) away() int {
+// unavailable counts the tasks of a long-running step that are not available.
+func (s *step) unavailable() int {
 	count := 0
 	for _, t := range s.tasks {
-		if !t.atWork() {
+		if !t.available() {
 			count++
 		}
 	}
 	return count
 }
 
-// atWork reports whether a long-running task serves: its worker reports it at
-// full speed, past its startup and not slowed down.
-func (t *task) atWork() bool {
+// available reports whether a long-running task serves: its worker reports it at full speed,
+// after its startup and not throttled.
+func (t *task) available() bool {
 	for _, r := range t.runs {
 		if r.phase == running && r.worker.contact == connected && r.speed >= fullSpeed {
 			return true
--- a/jaysched/durations.go
+++ b/jaysched/durations.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// priorWeight is how many observations the declared estimate is worth: it
-	// is trusted until a queue's own runs say otherwise.
+	// priorWeight is the number of observations that the declared estimate counts for: it is
+	// trusted until the durations observed in the queue contradict it.
 	priorWeight = 5
-	// priorSpread is the variance of the logarithm of durations that the prior
-	// assumes, about that of tasks between a half and twice their mean.
+	// priorSpread is the variance of the logarithm of durations that the prior assumes, about
+	// that of tasks between a half and twice their mean.
 	priorSpread = 0.25
-	// shortestTask keeps logarithms of estimates finite.
-	shortestTask = 10 * time.Millisecond
-	// forget is by how much older observations count less with each new one,
-	// so that a queue whose tasks change is learned anew within some hundred.
-	forget = 0.995
+	// minDuration keeps logarithms of durations finite.
+	minDuration = 10 * time.Millisecond
+	// decay is the factor by which earlier observations lose weight with each new one, so that
+	// a queue whose tasks change is learned anew within some hundred tasks.
+	decay = 0.995
 )
 
-// durations learns how long the tasks of each queue take. Declared estimates
-// are far off in some queues and good in others: a line through the logarithms
-// of estimate and duration finds out how much they say.
+// durations predicts how long the tasks of each queue take. Declared estimates are inaccurate
+// in some queues and accurate in others: a linear regression on the logarithms of estimate and
+// duration determines how informative they are.
 type durations struct {
 	byQueue map[string]*fit
 }
@@ -35,8 +35,8 @@
 	return &durations{byQueue: map[string]*fit{}}
 }
 
-// learn takes in how long a task of a step took.
-func (d *durations) learn(s *step, took time.Duration) {
+// observe records how long a task of a step took.
+func (d *durations) observe(s *step, took time.Duration) {
 	if s.decl.LongRunning || s.decl.Estimate <= 0 {
 		return
 	}
@@ -46,16 +46,16 @@
 		f = &fit{}
 		d.byQueue[queue] = f
 	}
-	x, y := logOf(s.decl.Estimate), logOf(took)
-	f.weight = f.weight*forget + 1
-	f.x = f.x*forget + x
-	f.y = f.y*forget + y
-	f.xx = f.xx*forget + x*x
-	f.xy = f.xy*forget + x*y
+	x, y := logSeconds(s.decl.Estimate), logSeconds(took)
+	f.weight = f.weight*decay + 1
+	f.x = f.x*decay + x
+	f.y = f.y*decay + y
+	f.xx = f.xx*decay + x*x
+	f.xy = f.xy*decay + x*y
 }
 
-// of returns how long a task of a step should take.
-func (d *durations) of(queue string, estimate time.Duration) time.Duration {
+// predict returns the expected duration of a task with a declared estimate.
+func (d *durations) predict(queue string, estimate time.Duration) time.Duration {
 	f, known := d.byQueue[queue]
 	if !known || estimate <= 0 {
 		return estimate
@@ -63,13 +63,13 @@
 	meanX, meanY := f.x/f.weight, f.y/f.weight
 	varX := f.xx/f.weight - meanX*meanX
 	covXY := f.xy/f.weight - meanX*meanY
-	// The prior says that the duration is the estimate: slope one, no offset.
+	// The prior states that the duration equals the estimate: slope one, no offset.
 	slope := (f.weight*covXY + priorWeight*priorSpread) / (f.weight*varX + priorWeight*priorSpread)
 	offset := (meanY - meanX) * f.weight / (f.weight + priorWeight)
-	predicted := meanX + offset + slope*(logOf(estimate)-meanX)
+	predicted := meanX + offset + slope*(logSeconds(estimate)-meanX)
 	return time.Duration(math.Exp(predicted) * float64(time.Second))
 }
 
-func logOf(d time.Duration) float64 {
-	return math.Log(max(d, shortestTask).Seconds())
+func logSeconds(d time.Duration) float64 {
+	return math.Log(max(d, minDuration).Seconds())
 }
--- a/jaysched/durations_test.go
+++ b/jaysched/durations_test.go
@@ -17,7 +17,7 @@
 	for n := range count {
 		estimate, took := of(math.Mod(float64(n)*0.618, 1))
 		s := &step{job: &job{spec: &jayspec.Job{Queue: "q"}}, decl: &jayspec.Step{Estimate: estimate}}
-		d.learn(s, took)
+		d.observe(s, took)
 	}
 	return d
 }
@@ -31,21 +31,21 @@
 
 func TestDurations(t *testing.T) {
 	t.Run("estimates are trusted at first", func(t *testing.T) {
-		is.New(t).Equal(newDurations().of("q", time.Second), time.Second)
+		is.New(t).Equal(newDurations().predict("q", time.Second), time.Second)
 	})
 	t.Run("good estimates stay", func(t *testing.T) {
 		d := learned(100, func(u float64) (time.Duration, time.Duration) {
 			s := time.Duration((0.2 + 2*u) * float64(time.Second))
 			return s, s
 		})
-		between(t, d.of("q", 500*time.Millisecond), 480*time.Millisecond, 520*time.Millisecond)
+		between(t, d.predict("q", 500*time.Millisecond), 480*time.Millisecond, 520*time.Millisecond)
 	})
 	t.Run("estimates that are always half are doubled", func(t *testing.T) {
 		d := learned(100, func(u float64) (time.Duration, time.Duration) {
 			s := time.Duration((0.2 + 2*u) * float64(time.Second))
 			return s / 2, s
 		})
-		between(t, d.of("q", time.Second), 1800*time.Millisecond, 2200*time.Millisecond)
+		between(t, d.predict("q", time.Second), 1800*time.Millisecond, 2200*time.Millisecond)
 	})
 	t.Run("estimates that say nothing give way to the mean", func(t *testing.T) {
 		// Symptom: short jobs wait behind one that is said to be short.
@@ -54,7 +54,7 @@
 		d := learned(200, func(u float64) (time.Duration, time.Duration) {
 			return time.Duration((0.1 + 10*u) * float64(time.Second)), 2 * time.Second
 		})
-		between(t, d.of("q", 100*time.Millisecond), 1300*time.Millisecond, 2500*time.Millisecond)
-		between(t, d.of("q", 9*time.Second), 1500*time.Millisecond, 2700*time.Millisecond)
+		between(t, d.predict("q", 100*time.Millisecond), 1300*time.Millisecond, 2500*time.Millisecond)
+		between(t, d.predict("q", 9*time.Second), 1500*time.Millisecond, 2700*time.Millisecond)
 	})
 }
--- a/jaysched/ends.go
+++ b/jaysched/ends.go
@@ -8,12 +8,12 @@
 	"jaythread/jayport"
 )
 
-// failurePause is before a failed task starts again. It is short, since the
-// next worker is another one.
-const failurePause = 10 * time.Millisecond
+// failureRetryDelay is the delay before a failed task starts again. It is short, since the next
+// worker is a different one.
+const failureRetryDelay = 10 * time.Millisecond
 
-// takeEnd takes in an end from a worker's list.
-func (p *Pool) takeEnd(w *worker, end jayport.EndedRun, now time.Duration) {
+// processEnd handles the end of a run from a worker's list.
+func (p *Pool) processEnd(w *worker, end jayport.EndedRun, now time.Duration) {
 	t := p.taskOf(end.Run.Task)
 	r, present := w.runs[end.Run]
 	if present {
@@ -24,8 +24,8 @@
 	if t == nil {
 		return
 	}
-	t.last = max(t.last, end.Run.Number)
-	t.found(end.Run.Number)
+	t.lastRun = max(t.lastRun, end.Run.Number)
+	t.clearUnconfirmed(end.Run.Number)
 	t.step.gangRun = max(t.step.gangRun, end.Run.Number)
 	if end.Checkpoint != "" && t.step.decl.Checkpoint && !t.done && len(t.runs) == 0 {
 		t.checkpoint = end.Checkpoint
@@ -40,21 +40,21 @@
 	}
 }
 
-// taskDone takes in that a run of a task is done. One member's end stands for
-// its whole gang.
+// taskDone handles a successful end of a run of a task. The end of one member of a gang ends
+// the whole gang.
 func (p *Pool) taskDone(t *task, r *run, w *worker, now time.Duration) {
-	w.health.succeeded()
+	w.health.recordSuccess()
 	if t.done || t.step.decl.LongRunning || t.step.job.outcome != Open {
 		return
 	}
 	if r == nil && len(t.runs) > 0 && !t.step.decl.Speculative {
-		// The worker was silent past its lease and the task was started
-		// elsewhere; that run goes on and decides.
+		// The worker was silent beyond its lease and the task was started elsewhere; the result
+		// of that run decides.
 		p.note(Note{Kind: EndIgnored, Worker: w.ID, Run: jayport.RunRef{Task: t.id()}, Detail: "superseded"}, now)
 		return
 	}
 	if r != nil {
-		p.times.learn(t.step, now-r.confirmedAt)
+		p.times.observe(t.step, now-r.confirmedAt)
 	}
 	finished := []*task{t}
 	if t.step.decl.Gang {
@@ -63,7 +63,7 @@
 	for _, f := range finished {
 		p.finishTask(f, now)
 	}
-	p.touch(t.step.job)
+	p.markChanged(t.step.job)
 	if t.step.open == 0 {
 		p.stepDone(t.step, now)
 	}
@@ -81,10 +81,10 @@
 	}
 }
 
-// stepDone lets the steps after it begin and ends the job with its last step.
+// stepDone unblocks the steps that depend on a step and ends the job with its last step.
 func (p *Pool) stepDone(s *step, now time.Duration) {
-	for _, next := range s.next {
-		next.after--
+	for _, next := range s.successors {
+		next.openPredecessors--
 		next.readyAt = now
 	}
 	s.occ.openSteps--
@@ -96,16 +96,16 @@
 		return
 	}
 	p.end(s.job, Done, now)
-	p.note(Note{Kind: JobEnded, Job: s.job.spec.ID, Detail: Done.String(), Waited: now - s.job.since}, now)
+	p.note(Note{Kind: JobEnded, Job: s.job.spec.ID, Detail: Done.String(), Waited: now - s.job.submittedAt}, now)
 }
 
-// taskFailed takes in that a run has failed, by its own fault or the worker's.
+// taskFailed handles a failed run, whether the task or the worker was at fault.
 func (p *Pool) taskFailed(t *task, w *worker, number int64, now time.Duration) {
-	w.health.failed(t.step.id, now)
+	w.health.recordFailure(t.step.id, now)
 	if t.done || t.step.job.outcome != Open {
 		return
 	}
-	t.notBefore = now + failurePause
+	t.notBefore = now + failureRetryDelay
 	if !slices.Contains(t.failedOn, w.ID) {
 		t.failedOn = append(t.failedOn, w.ID)
 	}
@@ -113,14 +113,14 @@
 		return
 	}
 	t.failedRuns = append(t.failedRuns, number)
-	p.touch(t.step.job)
+	p.markChanged(t.step.job)
 	if failures := t.failures(); failures >= p.policy(t.step.job).Attempts {
 		p.end(t.step.job, Failed, now)
-		p.note(Note{Kind: JobEnded, Job: t.step.job.spec.ID, Detail: fmt.Sprintf("failed: %s failed %d times", t.id(), failures), Waited: now - t.step.job.since}, now)
+		p.note(Note{Kind: JobEnded, Job: t.step.job.spec.ID, Detail: fmt.Sprintf("failed: %s failed %d times", t.id(), failures), Waited: now - t.step.job.submittedAt}, now)
 	}
 }
 
-// failures counts the runs of a task, or of its gang, that have failed.
+// failures counts the failed runs of a task, or of its gang.
 func (t *task) failures() int {
 	if !t.step.decl.Gang {
 		return len(t.failedRuns)
--- a/jaysched/events.go
+++ b/jaysched/events.go
@@ -9,20 +9,20 @@
 	"jaythread/jayport"
 )
 
-// Listed takes in the newest list of the pool's workers. A worker that is
-// missing gets no new run; what runs there ends with its lease.
+// Listed handles the newest list of the pool's workers. A worker that is not listed gets no new
+// run; its present runs end with its lease.
 func (p *Pool) Listed(list []jayport.Worker, now time.Duration) {
 	for _, w := range p.sorted {
 		w.listed = false
 	}
-	p.forgetGone(list, now)
+	p.forgetEnded(list, now)
 	for _, listed := range list {
 		w, known := p.workers[listed.ID]
 		if known && w.Incarnation != listed.Incarnation && listed.Incarnation != 0 {
-			known = p.otherListed(w, listed, now)
+			known = p.otherIncarnationListed(w, listed, now)
 		}
 		if !known {
-			if p.gone[listed.ID].names(listed.Incarnation, now) {
+			if p.endedWorkers[listed.ID].includes(listed.Incarnation, now) {
 				continue
 			}
 			w = p.join(listed, now)
@@ -31,19 +31,19 @@
 			p.update(w, listed, now)
 		}
 	}
-	p.measure()
+	p.updateMaxCapacity()
 }
 
-// otherListed takes in an entry of another incarnation than the one that is known, and
-// reports whether the latter goes on. Entries of one worker are listed in the order of its
-// starts. One that has reported its incarnation only in an answer may be of before or after the
-// entry; its own answers tell.
-func (p *Pool) otherListed(w *worker, listed jayport.Worker, now time.Duration) (goesOn bool) {
+// otherIncarnationListed handles a listed entry of an incarnation other than the known one, and
+// reports whether the known one remains. Entries of one worker are listed in the order of its
+// starts. If the known incarnation was learned only from an answer, it may be older or newer
+// than the listed one; the worker's own answers decide.
+func (p *Pool) otherIncarnationListed(w *worker, listed jayport.Worker, now time.Duration) (goesOn bool) {
 	switch {
 	case w.Incarnation == 0:
 		p.identify(w, listed.Incarnation)
 		return true
-	case w.identified || p.gone[listed.ID].names(listed.Incarnation, now):
+	case w.identified || p.endedWorkers[listed.ID].includes(listed.Incarnation, now):
 		return true
 	default:
 		p.Ended(w.workerRef(), "it was started again", now)
@@ -51,7 +51,7 @@
 	}
 }
 
-// identify takes in the incarnation of a worker that was used without knowing it.
+// identify sets the incarnation of a worker that was used without knowing it.
 func (p *Pool) identify(w *worker, incarnation jayport.Incarnation) {
 	p.actions = append(p.actions, ForgetWorker{To: w.workerRef()})
 	w.Incarnation, w.identified = incarnation, true
@@ -61,8 +61,8 @@
 func (p *Pool) join(listed jayport.Worker, now time.Duration) *worker {
 	w := newWorker(listed, now)
 	p.insert(w)
-	delete(p.missing, w.ID)
-	if former := p.gone[w.ID].former; len(former) > 0 {
+	delete(p.unlisted, w.ID)
+	if former := p.endedWorkers[w.ID].former; len(former) > 0 {
 		p.note(Note{Kind: WorkerReturned, Worker: w.ID, Detail: fmt.Sprintf("incarnation %d after %d", w.Incarnation, former[len(former)-1])}, now)
 	} else {
 		p.note(Note{Kind: WorkerJoined, Worker: w.ID, Detail: incarnationText(w.Incarnation)}, now)
@@ -73,7 +73,7 @@
 	return w
 }
 
-// update takes in what a worker says of itself.
+// update applies a worker's listed attributes.
 func (p *Pool) update(w *worker, listed jayport.Worker, now time.Duration) {
 	if listed.Draining && !w.Draining {
 		p.note(Note{Kind: WorkerDrains, Worker: w.ID}, now)
@@ -88,24 +88,23 @@
 	w.Addr = listed.Addr
 }
 
-// Surveyed takes in which workers the inventory knew in the pool at a time.
-// One that is not on the list of workers may run what a former owner has
-// started; one that the inventory does not know any more, and that has not
-// answered since, has ended.
+// Surveyed handles the list of workers that the inventory had in the pool at the time asked. A
+// worker that is not on the list of workers may have runs that a previous owner started; a
+// worker that the inventory no longer has, and that has not answered since, has ended.
 func (p *Pool) Surveyed(ids []string, asked, now time.Duration) {
 	p.surveyed = true
 	exists := make(map[string]bool, len(ids))
-	clear(p.missing)
+	clear(p.unlisted)
 	for _, id := range ids {
 		exists[id] = true
 		if _, known := p.workers[id]; !known {
-			p.missing[id] = true
+			p.unlisted[id] = true
 		}
 	}
 	var ended []*worker
 	for _, w := range p.sorted {
 		if !exists[w.ID] && w.joinedAt < asked && w.heardAt < asked {
-			w.ending = true
+			w.confirmedLost = true
 			ended = append(ended, w)
 		}
 	}
@@ -114,16 +113,15 @@
 	}
 }
 
-// NeedsSurvey reports whether the pool waits for word from workers that do not
-// answer.
+// NeedsSurvey reports whether the pool waits for information about workers that do not answer.
 func (p *Pool) NeedsSurvey(now time.Duration) bool {
-	if p.holdsBack(now) {
+	if p.formerRunsPossible(now) {
 		return true
 	}
 	return slices.ContainsFunc(p.sorted, func(w *worker) bool { return w.contact == silent && len(w.runs) > 0 })
 }
 
-// Ended takes in that an incarnation of a worker is over: whatever ran there runs no more.
+// Ended handles the end of an incarnation of a worker: none of its runs continues.
 func (p *Pool) Ended(ref jayport.WorkerRef, why string, now time.Duration) {
 	w, known := p.workerOf(ref)
 	if !known {
@@ -131,22 +129,22 @@
 	}
 	suspects, atStart := w.suspects()
 	if w.contact == lapsed {
-		suspects, atStart = w.lapsed, w.lapsedAtStart
+		suspects, atStart = w.lapsedSuspects, w.lapsedSuspectsAtStart
 	}
 	if !w.Draining && !w.closed {
-		p.noteLoss(w, now)
+		p.recordLoss(w, now)
 	}
 	p.note(Note{Kind: WorkerLeft, Worker: w.ID, Detail: why}, now)
-	p.lose(w, why, now)
+	p.loseRuns(w, why, now)
 	p.remove(w)
-	p.gone[w.ID] = p.gone[w.ID].with(w.Incarnation, now)
+	p.endedWorkers[w.ID] = p.endedWorkers[w.ID].with(w.Incarnation, now)
 	p.forgetAdvice(w)
 	p.actions = append(p.actions, ForgetWorker{To: w.workerRef()})
 	p.attribute(w, suspects, atStart, now)
 }
 
-// lose drops all runs of a worker: their tasks wait again.
-func (p *Pool) lose(w *worker, why string, now time.Duration) {
+// loseRuns removes all runs of a worker: their tasks wait again.
+func (p *Pool) loseRuns(w *worker, why string, now time.Duration) {
 	for _, r := range slices.Clone(w.inOrder) {
 		p.note(Note{Kind: RunLost, Worker: w.ID, Run: r.ref(), Detail: why, Since: now - w.heardAt, Waited: now - r.orderedAt}, now)
 		p.dropRun(r, now)
@@ -155,11 +153,11 @@
 
 func (p *Pool) dropRun(r *run, now time.Duration) {
 	r.worker.remove(r, now)
-	r.task.drop(r)
+	r.task.removeRun(r)
 	r.task.droppedAt = now
 }
 
-// Silent takes in that a worker did not answer a request about its runs.
+// Silent handles a request about its runs that a worker did not answer.
 func (p *Pool) Silent(ref jayport.WorkerRef, now time.Duration) {
 	w, known := p.workerOf(ref)
 	if !known {
@@ -171,19 +169,19 @@
 	}
 	w.missingReports++
 	if w.contact == connected && w.missingReports < silentAfter {
-		// One answer may be lost on a worker that is well.
+		// A single answer may be lost although the worker is healthy.
 		w.askAt = now
 		return
 	}
-	w.askAt = now + silentPause
+	w.askAt = now + silentRetryDelay
 	if w.contact == connected {
 		w.contact = silent
 		p.note(Note{Kind: WorkerSilent, Worker: w.ID, Since: w.heardAt}, now)
 	}
 }
 
-// Reported takes in a worker's report, which was asked for at a time: orders
-// that were answered before that time are in it.
+// Reported handles a worker's report, which was requested at the time asked: it includes the
+// orders that were answered before that time.
 func (p *Pool) Reported(ref jayport.WorkerRef, report jayport.Report, asked, now time.Duration) {
 	w, known := p.workerOf(ref)
 	if !known {
@@ -197,21 +195,21 @@
 		p.identify(w, report.Incarnation)
 	}
 	p.answered(w, now)
-	w.seeClock(report.Clock, now)
+	w.recordClock(report.Clock, now)
 	p.clearSuspicions(w, now)
 	clear(w.unknownJobs)
-	p.takeEnds(w, report.Ended, now)
-	seen := p.takeActives(w, report.Active, now)
+	p.processEnds(w, report.Ended, now)
+	seen := p.processActiveRuns(w, report.Active, now)
 	if len(report.Ended) < jayport.MaxReportedEnds && !report.Partial {
 		p.dropMissing(w, seen, asked, now)
 	}
 	w.askAt = now
-	if w.processed > w.acknowledged || report.Partial || len(w.unknownJobs) > 0 || w.strays > 0 {
-		w.askAt = now + unrecordedPause
+	if w.processed > w.acknowledged || report.Partial || len(w.unknownJobs) > 0 || w.unaccountedRuns > 0 {
+		w.askAt = now + unrecordedDelay
 	}
 }
 
-// answered notes that a worker answers.
+// answered records that a worker answers.
 func (p *Pool) answered(w *worker, now time.Duration) {
 	if w.contact != connected {
 		p.note(Note{Kind: WorkerAnswers, Worker: w.ID, Since: w.heardAt}, now)
@@ -224,8 +222,8 @@
 	w.missingReports = 0
 }
 
-// takeEnds takes in the ends that are new, up to one whose job may become known yet.
-func (p *Pool) takeEnds(w *worker, ends []jayport.EndedRun, now time.Duration) {
+// processEnds handles the new ends in order, up to one whose job may still become known.
+func (p *Pool) processEnds(w *worker, ends []jayport.EndedRun, now time.Duration) {
 	for _, end := range ends {
 		if end.Number <= w.processed {
 			continue
@@ -233,27 +231,27 @@
 		if p.mayBecomeKnown(w, end.Run, now) {
 			return
 		}
-		p.takeEnd(w, end, now)
+		p.processEnd(w, end, now)
 		w.processed = end.Number
 	}
 }
 
-// takeActives takes in what runs on a worker and counts the runs that the pool does not
-// want there. It returns all that the worker has listed.
-func (p *Pool) takeActives(w *worker, runs []jayport.ActiveRun, now time.Duration) map[jayport.RunRef]bool {
+// processActiveRuns handles the active runs on a worker and counts those that the pool does not
+// want there. It returns all runs that the worker has listed.
+func (p *Pool) processActiveRuns(w *worker, runs []jayport.ActiveRun, now time.Duration) map[jayport.RunRef]bool {
 	seen := make(map[jayport.RunRef]bool, len(runs))
-	w.strays = 0
+	w.unaccountedRuns = 0
 	for _, active := range runs {
 		seen[active.Run] = true
-		if p.mayBecomeKnown(w, active.Run, now) || !p.takeActive(w, active, now) {
-			w.strays++
+		if p.mayBecomeKnown(w, active.Run, now) || !p.processActiveRun(w, active, now) {
+			w.unaccountedRuns++
 		}
 	}
 	return seen
 }
 
-// dropMissing drops runs that the worker had confirmed before it was asked
-// and that it now lists neither as active nor as ended.
+// dropMissing removes runs that the worker had confirmed before the report was requested and
+// that it now lists neither as active nor as ended.
 func (p *Pool) dropMissing(w *worker, seen map[jayport.RunRef]bool, asked, now time.Duration) {
 	for _, r := range slices.Clone(w.inOrder) {
 		confirmed := r.confirmedAt > 0 && r.confirmedAt < asked
@@ -264,9 +262,9 @@
 	}
 }
 
-// takeActive takes in a run that a worker lists as active, and reports whether it is to go
-// on there.
-func (p *Pool) takeActive(w *worker, active jayport.ActiveRun, now time.Duration) (wanted bool) {
+// processActiveRun handles a run that a worker lists as active, and reports whether it may
+// continue there.
+func (p *Pool) processActiveRun(w *worker, active jayport.ActiveRun, now time.Duration) (wanted bool) {
 	if r, known := w.runs[active.Run]; known {
 		p.confirm(r, now)
 		r.speed, r.load = active.Speed, active.Load
@@ -283,11 +281,11 @@
 	}
 	r := &run{task: t, worker: w, number: active.Run.Number, phase: running, need: needOf(t.step), orderedAt: now, confirmedAt: now, speed: active.Speed, isolation: t.isolation()}
 	w.add(r)
-	t.take(r)
-	t.last = max(t.last, r.number)
+	t.addRun(r)
+	t.lastRun = max(t.lastRun, r.number)
 	t.step.gangRun = max(t.step.gangRun, r.number)
-	t.unseen = false
-	t.found(r.number)
+	t.mayRunUnreported = false
+	t.clearUnconfirmed(r.number)
 	t.step.job.started = true
 	if active.Checkpoint != "" && t.step.decl.Checkpoint {
 		t.checkpoint = active.Checkpoint
@@ -296,12 +294,12 @@
 	return true
 }
 
-// confirm notes that a worker has a run.
+// confirm records that a worker has a run.
 func (p *Pool) confirm(r *run, now time.Duration) {
 	if r.confirmedAt == 0 {
 		r.confirmedAt = now
 	}
-	if r.phase == ordered || r.phase == unsure {
+	if r.phase == ordered || r.phase == unanswered {
 		r.phase = running
 		r.worker.fullFor = 0
 	}
@@ -318,7 +316,7 @@
 	return j.taskOf(id)
 }
 
-// StartAnswered takes in the answer to a start.
+// StartAnswered handles the answer to a start order.
 func (p *Pool) StartAnswered(to jayport.WorkerRef, ref jayport.RunRef, clock time.Duration, err error, now time.Duration) {
 	w, known := p.workerOf(to)
 	if !known {
@@ -329,51 +327,50 @@
 		return
 	}
 	if err == nil {
-		w.seeClock(clock, now)
+		w.recordClock(clock, now)
 		p.confirm(r, now)
 		return
 	}
 	var refused *jayport.RefusedError
 	if !errors.As(err, &refused) {
 		if r.phase == ordered {
-			r.phase = unsure
+			r.phase = unanswered
 			r.expectAnswer()
 		}
 		return
 	}
-	w.seeClock(refused.Clock, now)
+	w.recordClock(refused.Clock, now)
 	p.startRefused(r, refused.Reason, now)
 }
 
-// startRefused drops a run that the worker has refused. A repeated start that
-// is outdated may have run and ended; its end is in the worker's list, so the
-// report decides.
+// startRefused removes a run that the worker has refused. A repeated start that is outdated may
+// have run and ended; its end is in the worker's list, so the report decides.
 func (p *Pool) startRefused(r *run, reason jayport.Reason, now time.Duration) {
 	p.note(Note{Kind: StartRefused, Worker: r.worker.ID, Run: r.ref(), Detail: reason.String()}, now)
 	if reason == jayport.RefusedOutdated && r.attempt > 1 {
 		r.confirmedAt = now
 		return
 	}
-	r.worker.refused(reason, now)
+	r.worker.recordRefusal(reason, now)
 	if r.attempt > 1 {
-		// An earlier start had no answer and may be carried out seconds later,
-		// whatever the repeated one was told. Once the worker has confirmed a stop
-		// it refuses that run for ever, and the task can start elsewhere.
+		// An earlier start had no answer and may be carried out seconds later, whatever the
+		// answer to the repeated one. Once the worker has confirmed a stop it refuses that run
+		// permanently, and the task can start elsewhere.
 		p.stop(r, "refusedAfterALostAnswer", now)
 		return
 	}
-	r.task.notBefore = now + refusedPause
+	r.task.notBefore = now + refusedRetryDelay
 	if reason == jayport.RefusedNoTicket {
 		delete(r.task.step.advice.tickets, r.worker.ID)
 	}
 	p.dropRun(r, now)
 }
 
-// refusedPause is before a refused task is tried again: the room that the
-// worker lacked is known only with its next report.
-const refusedPause = 20 * time.Millisecond
+// refusedRetryDelay is the delay before a refused task is started again: the worker's actual
+// room is known only with its next report.
+const refusedRetryDelay = 20 * time.Millisecond
 
-// StopAnswered takes in the answer to a stop.
+// StopAnswered handles the answer to a stop order.
 func (p *Pool) StopAnswered(to jayport.WorkerRef, ref jayport.RunRef, clock time.Duration, err error, now time.Duration) {
 	w, known := p.workerOf(to)
 	if !known {
@@ -381,11 +378,11 @@
 	}
 	r, known := w.runs[ref]
 	if err == nil {
-		w.seeClock(clock, now)
+		w.recordClock(clock, now)
 		if known && r.phase == stopping {
 			r.phase = stopped
-			// The worker's next report tells what became of it: a run that had
-			// not started is in no list.
+			// The worker's next report tells the outcome of the run: a run that had not started
+			// is in no list.
 			if r.confirmedAt == 0 {
 				r.confirmedAt = now
 			}
--- a/jaysched/expire.go
+++ b/jaysched/expire.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Expired returns the jobs that have ended, and whose end stands in the store,
-// for at least a time, at most so many. Their records can be removed: a store
-// that keeps the newest record of each key for ever would fill up with them.
+// Expired returns at most the given number of jobs whose end has been recorded in the store and
+// that ended at least the retention time ago. Their records can be removed: a store that keeps
+// the newest record of each key forever would fill up with them.
 func (p *Pool) Expired(now, retain time.Duration, most int) []string {
 	var expired []string
 	for id, j := range p.jobs {
@@ -23,8 +23,8 @@
 	return expired
 }
 
-// Removed takes in whether the records of expired jobs were removed. If so, the
-// jobs are forgotten; if not, they expire again.
+// Removed handles the result of removing the records of expired jobs. If they were removed, the
+// jobs are forgotten; otherwise they expire again.
 func (p *Pool) Removed(ids []string, done bool) {
 	for _, id := range ids {
 		j, known := p.jobs[id]
--- a/jaysched/forecast.go
+++ b/jaysched/forecast.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// trendWindow is over how long growth is measured. A rush begins within a
+	// trendWindow is the time over which growth is measured. A load spike begins within a
 	// second.
 	trendWindow = 800 * time.Millisecond
-	// trendSamples is how many samples a slope needs.
+	// trendSamples is the minimum number of samples for a slope.
 	trendSamples = 3
-	// reportWay is how long a host that has come takes until it can be used: the way
-	// of its report.
-	reportWay = 200 * time.Millisecond
+	// reportDelay is how long it takes until a host that has arrived can be used: the time for
+	// its first report.
+	reportDelay = 200 * time.Millisecond
 )
 
-// trend foresees by how much a quantity will have grown.
+// trend predicts the growth of a quantity.
 type trend struct {
 	samples []sample
 }
@@ -30,16 +30,16 @@
 	milli int64
 }
 
-// growth notes a quantity and returns by how much it grows until a host that is
-// moved now has come, if it goes on as it did. What falls is not foreseen: a
-// host that leaves too early is dearer than one that stays a moment too long.
+// growth adds a sample and returns by how much the quantity will have grown after the lead time
+// if it grows at the present rate. A decrease is not predicted: a host that leaves too early
+// costs more than one that stays slightly too long.
 func (t *trend) growth(milli int64, lead, now time.Duration) int64 {
 	t.samples = slices.DeleteFunc(t.samples, func(s sample) bool { return s.at < now-trendWindow })
 	t.samples = append(t.samples, sample{at: now, milli: milli})
 	return int64(max(0, t.slope()*lead.Seconds()))
 }
 
-// slope is the growth in thousandths of a core a second, by least squares.
+// slope returns the growth in thousandths of a core per second, by least squares.
 func (t *trend) slope() float64 {
 	n := float64(len(t.samples))
 	var x, y, xx, xy float64
@@ -58,48 +58,47 @@
 }
 
 const (
-	// offeredJobs is how many jobs a rate is taken from: with fewer, one large
-	// job would count for a rush.
-	offeredJobs = 12
-	// offeredShortest and offeredLongest bound over how long it is taken: jobs
-	// that come together are no rush, and a rush is over after some seconds.
-	offeredShortest = 500 * time.Millisecond
-	offeredLongest  = 2 * time.Second
+	// rateJobs is the number of jobs from which a rate is computed: with fewer, a single large
+	// job would look like a load spike.
+	rateJobs = 12
+	// minRateWindow and maxRateWindow limit the time over which the rate is computed: a batch
+	// of jobs is not a load spike, and a load spike is over after some seconds.
+	minRateWindow = 500 * time.Millisecond
+	maxRateWindow = 2 * time.Second
 )
 
-// offered is the work of the jobs that came lately.
-type offered struct {
+// offeredWork is the work of the jobs that arrived recently.
+type offeredWork struct {
 	arrivals []arrival
 }
 
-// arrival is a job that came: its work in thousandths of a core times seconds,
-// and how long it takes.
+// arrival is the arrival of a job: its work in thousandths of a core times seconds, and how
+// long it takes.
 type arrival struct {
 	at    time.Duration
 	work  float64
 	chain time.Duration
 }
 
-// note takes in a job.
-func (o *offered) note(a arrival) {
+// add records the arrival of a job.
+func (o *offeredWork) add(a arrival) {
 	o.arrivals = append(o.arrivals, a)
 }
 
-// rate is how many thousandths of a core the jobs that come would keep busy if
-// they went on coming, and how long a job takes on average.
+// rate returns how many thousandths of a core the arriving jobs would keep busy if they
+// continued to arrive at the present rate, and how long a job takes on average.
 //
-// The load that it answers: a rush begins, and its jobs find free room at first
-// or are only in their first step. What they use then says little of what the
-// rush will use when a host that is moved now has come; the work that comes in a
-// second says it within half a second.
-func (o *offered) rate(now time.Duration) (milli float64, chain time.Duration) {
-	o.arrivals = slices.DeleteFunc(o.arrivals, func(a arrival) bool { return a.at < now-offeredLongest })
+// It handles this load: a load spike begins, and its jobs find free room at first or are only
+// in their first step. Their usage then says little about the usage at the time when a host
+// that is requested now arrives; the rate of arriving work indicates it within half a second.
+func (o *offeredWork) rate(now time.Duration) (milli float64, chain time.Duration) {
+	o.arrivals = slices.DeleteFunc(o.arrivals, func(a arrival) bool { return a.at < now-maxRateWindow })
 	if len(o.arrivals) == 0 {
 		return 0, 0
 	}
-	from := now - offeredLongest
-	if n := len(o.arrivals); n > offeredJobs {
-		from = min(o.arrivals[n-offeredJobs-1].at, now-offeredShortest)
+	from := now - maxRateWindow
+	if n := len(o.arrivals); n > rateJobs {
+		from = min(o.arrivals[n-rateJobs-1].at, now-minRateWindow)
 	}
 	work, weighted := 0.0, 0.0
 	for _, a := range o.arrivals {
@@ -114,10 +113,9 @@
 	return work / (now - from).Seconds(), time.Duration(weighted / work * float64(time.Second))
 }
 
-// ahead is what a pool that uses so much now will use when a host that is moved
-// now has come: of the jobs that are there some will have ended by then, and
-// others will have come at the present rate.
-func (o *offered) ahead(milli int64, lead, now time.Duration) int64 {
+// forecast returns the usage of a pool after the lead time, given its present usage: some of
+// the present jobs will have ended by then, and others will have arrived at the present rate.
+func (o *offeredWork) forecast(milli int64, lead, now time.Duration) int64 {
 	rate, chain := o.rate(now)
 	if chain <= 0 {
 		return 0
@@ -126,42 +124,42 @@
 	return int64(float64(milli)*left + rate*(1-left))
 }
 
-// expectedFor is for how long a job is remembered that was submitted and is not
-// stored: its caller has come again by then, or gives up.
-const expectedFor = 5 * time.Second
+// expectedTTL is how long a job that was submitted but not stored is remembered: by then its
+// caller has retried or given up.
+const expectedTTL = 5 * time.Second
 
-// Expect takes in a job that was submitted and is about to be stored.
+// Expect handles a job that was submitted and is about to be stored.
 //
-// The load that it answers: a rush in an outage of the store. Its jobs wait to be
-// stored and are all there when the store is back; hosts that are called only then
-// come a move later.
+// It handles this load: a load spike during an outage of the store. Its jobs wait to be stored
+// and all become known when the store is available again; hosts that are requested only then
+// arrive later by the time of a host move.
 func (p *Pool) Expect(spec *jayspec.Job, now time.Duration) {
-	maps.DeleteFunc(p.expected, func(_ string, at time.Duration) bool { return at+expectedFor < now })
+	maps.DeleteFunc(p.expected, func(_ string, at time.Duration) bool { return at+expectedTTL < now })
 	_, known := p.jobs[spec.ID]
 	_, expected := p.expected[spec.ID]
 	if known || expected {
 		return
 	}
 	p.expected[spec.ID] = now
-	p.offer(spec, p.chainOf(spec), now)
+	p.addArrival(spec, p.longestChain(spec), now)
 }
 
-// chainOf is how long a job should take on its own.
-func (p *Pool) chainOf(spec *jayspec.Job) time.Duration {
-	return spec.LongestChain(func(n int) time.Duration { return p.times.of(spec.Queue, spec.Steps[n].Estimate) })
+// longestChain returns the expected duration of a job that runs alone.
+func (p *Pool) longestChain(spec *jayspec.Job) time.Duration {
+	return spec.LongestChain(func(n int) time.Duration { return p.times.predict(spec.Queue, spec.Steps[n].Estimate) })
 }
 
-// offer notes the work of a job that came. Long-running jobs or have set times are
-// no part of a rush.
-func (p *Pool) offer(spec *jayspec.Job, chain, now time.Duration) {
+// addArrival records the work of an arriving job. Jobs that are long-running or have scheduled
+// times are not part of a load spike.
+func (p *Pool) addArrival(spec *jayspec.Job, chain, now time.Duration) {
 	if spec.LongRunning() || spec.Schedule.Timed() {
 		return
 	}
 	work := 0.0
 	for n := range spec.Steps {
 		s := &spec.Steps[n]
-		takes := p.times.of(spec.Queue, s.Estimate)
+		takes := p.times.predict(spec.Queue, s.Estimate)
 		work += float64(s.Tasks) * float64(s.Need.ProcessorsMilli) * takes.Seconds()
 	}
-	p.offered.note(arrival{at: now, work: work, chain: chain})
+	p.offeredWork.add(arrival{at: now, work: work, chain: chain})
 }
--- a/jaysched/forecast_test.go
+++ b/jaysched/forecast_test.go
@@ -85,20 +85,20 @@
 	expected := w.pool.Demand(w.now).NeedMilli
 	is.True(expected > 4*before)
 	work := 0.0
-	for _, a := range w.pool.offered.arrivals {
+	for _, a := range w.pool.offeredWork.arrivals {
 		work += a.work
 	}
 	for _, spec := range specs {
 		w.pool.Declare(spec, w.now)
 	}
 	after := 0.0
-	for _, a := range w.pool.offered.arrivals {
+	for _, a := range w.pool.offeredWork.arrivals {
 		after += a.work
 	}
 	is.Equal(work, after) // each counts once
 	is.Equal(len(w.pool.expected), 0)
 	w.pool.Expect(newSpec("never", 1), w.now)
-	w.now += 2 * expectedFor
+	w.now += 2 * expectedTTL
 	w.pool.Expect(newSpec("later", 1), w.now)
 	is.Equal(len(w.pool.expected), 1)
 }
--- a/jaysched/health.go
+++ b/jaysched/health.go
@@ -7,61 +7,60 @@
 )
 
 const (
-	// avoidAfter is how many runs in a row must fail, of different steps,
-	// before their worker is avoided: tasks that can never be done fail
-	// anywhere.
+	// avoidAfter is the number of consecutive failed runs, of different steps, after which
+	// their worker is avoided: a task that can never succeed fails on any worker.
 	avoidAfter = 2
-	// avoidFirst and avoidLongest bound for how long a worker is avoided. The
-	// time doubles while its next run fails too.
-	avoidFirst   = time.Second
-	avoidLongest = 8 * time.Second
-	// unhealthyPause is after a worker has turned work away as unhealthy.
-	unhealthyPause = 500 * time.Millisecond
+	// minAvoidTime and maxAvoidTime limit for how long a worker is avoided. The time doubles
+	// each time its next run fails too.
+	minAvoidTime = time.Second
+	maxAvoidTime = 8 * time.Second
+	// unhealthyAvoidTime is how long a worker is avoided after it has refused a start as
+	// unhealthy.
+	unhealthyAvoidTime = 500 * time.Millisecond
 )
 
-// health is what a worker's own runs say of it. A worker that fails all it
-// starts goes on reporting itself well; it would take one attempt of task
-// after task.
+// health is the health of a worker as its own runs show it. A worker that fails every run still
+// reports itself as healthy; it would use up one attempt of task after task.
 type health struct {
-	// streak holds the steps of the failures since the last success.
-	streak     []jayport.StepID
-	avoidUntil time.Duration
-	avoidFor   time.Duration
+	// failedSteps holds the steps of the failures since the last success.
+	failedSteps []jayport.StepID
+	avoidUntil  time.Duration
+	avoidFor    time.Duration
 }
 
-func (h *health) succeeded() {
-	h.streak = h.streak[:0]
+func (h *health) recordSuccess() {
+	h.failedSteps = h.failedSteps[:0]
 	h.avoidFor = 0
 	h.avoidUntil = 0
 }
 
-func (h *health) failed(step jayport.StepID, now time.Duration) {
-	for _, seen := range h.streak {
+func (h *health) recordFailure(step jayport.StepID, now time.Duration) {
+	for _, seen := range h.failedSteps {
 		if seen == step {
 			return
 		}
 	}
-	h.streak = append(h.streak, step)
-	if len(h.streak) < avoidAfter {
+	h.failedSteps = append(h.failedSteps, step)
+	if len(h.failedSteps) < avoidAfter {
 		return
 	}
-	h.avoidFor = min(max(2*h.avoidFor, avoidFirst), avoidLongest)
+	h.avoidFor = min(max(2*h.avoidFor, minAvoidTime), maxAvoidTime)
 	h.avoidUntil = now + h.avoidFor
 }
 
-func (h *health) refused(reason jayport.Reason, now time.Duration) {
+func (h *health) recordRefusal(reason jayport.Reason, now time.Duration) {
 	if reason == jayport.RefusedUnhealthy {
-		h.avoidUntil = max(h.avoidUntil, now+unhealthyPause)
+		h.avoidUntil = max(h.avoidUntil, now+unhealthyAvoidTime)
 	}
 }
 
-// avoided reports whether nothing should be started on the worker now.
+// avoided reports whether no run should be started on the worker now.
 func (h *health) avoided(now time.Duration) bool {
 	return now < h.avoidUntil
 }
 
-// onTrial reports whether the worker failed its last runs and may get one more
-// to show that it is well again.
+// onTrial reports whether the worker failed its last runs and may get only one run at a time
+// until one succeeds.
 func (h *health) onTrial() bool {
-	return len(h.streak) >= avoidAfter
+	return len(h.failedSteps) >= avoidAfter
 }
--- a/jaysched/incarnation_test.go
+++ b/jaysched/incarnation_test.go
@@ -63,7 +63,7 @@
 	})
 	returns("its answer tells first", func(w *world) {
 		w.restart("a", 2000)
-		w.pass(busyWait)
+		w.pass(busyReportWait)
 		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now)
 		w.run()
 		is.New(w.t).Equal(w.pool.workers["a"], nil) // not used before its entry is listed
@@ -75,7 +75,7 @@
 	})
 	returns("within the wait of one request", func(w *world) {
 		w.restart("a", 2000)
-		w.now += busyWait / 2
+		w.now += busyReportWait / 2
 		w.list()
 		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now) // of before
 	})
@@ -195,7 +195,7 @@
 		asked := w.now
 		s := w.pool.jobs["j"].occurrences[0].steps[0]
 		s.advice.tickets["a"] = ticket{text: "old", until: w.now + time.Hour}
-		w.pool.workers["a"].health.refused(jayport.RefusedUnhealthy, w.now)
+		w.pool.workers["a"].health.recordRefusal(jayport.RefusedUnhealthy, w.now)
 		w.restart("a", 2000)
 		w.now += time.Millisecond
 		w.list()
--- a/jaysched/job.go
+++ b/jaysched/job.go
@@ -25,7 +25,7 @@
 	return outcomeNames[o]
 }
 
-// State is what a caller is shown of a job.
+// State is the state of a job as shown to callers.
 type State uint8
 
 // The states of jobs.
@@ -44,43 +44,43 @@
 	return stateNames[s]
 }
 
-// job is a declared job and how far it has come.
+// job is a declared job and its progress.
 type job struct {
 	spec *jayspec.Job
-	// since is when the job was submitted.
-	since time.Duration
-	// found says that others stored the job, so that a former owner may have begun
-	// it.
-	found bool
-	// inherited says that a former owner may have begun the job.
+	// submittedAt is when the job was submitted.
+	submittedAt time.Duration
+	// foundInStore says that another owner stored the job, so that a previous owner may have
+	// begun it.
+	foundInStore bool
+	// inherited says that a previous owner may have begun the job.
 	inherited bool
-	// longRunning says that the job runs until it is cancelled, advised that only
-	// the advisor knows where its steps may run.
+	// longRunning says that the job runs until it is cancelled, advised that only the advisor
+	// knows where its steps may run.
 	longRunning bool
 	advised     bool
-	// priority is its queue's; zero comes first.
+	// priority is that of the job's queue; zero is served first.
 	priority int
 	// target is when the job should be done.
-	target      time.Duration
-	prospect    prospect
-	occurrences []*occurrence
-	// openOccurrences counts those that have not ended.
+	target         time.Duration
+	deadlineStatus deadlineStatus
+	occurrences    []*occurrence
+	// openOccurrences counts the occurrences that have not ended.
 	openOccurrences int
 	// waiting counts the tasks of all steps that are not done and have no run.
 	waiting int
 	outcome Outcome
 	endedAt time.Duration
-	// recorded is the outcome that stands in the store; callers are shown
-	// no other one, since an owner that dies would take it back.
+	// recorded is the outcome recorded in the store. Callers are shown no other outcome, since
+	// the loss of the owner would revoke it.
 	recorded Outcome
 	// removing says that the records of the ended job are being removed.
 	removing bool
 	started  bool
-	// dirty says that the progress differs from what was handed to the store.
+	// dirty says that the progress differs from the one last handed to the store.
 	dirty bool
 }
 
-// occurrence is one run through the steps of a job.
+// occurrence is one pass through the steps of a job.
 type occurrence struct {
 	number    int
 	due       time.Duration
@@ -94,36 +94,35 @@
 	occ  *occurrence
 	id   jayport.StepID
 	decl *jayspec.Step
-	// open counts the tasks that are not done, waiting those of them that have
-	// no run.
-	open    int
-	waiting int
-	after   int
-	// next are the steps that wait for this one.
-	next  []*step
-	tasks []*task
-	// rack is where a rack-local step runs.
+	// open counts the tasks that are not done, waiting those of them that have no run.
+	open             int
+	waiting          int
+	openPredecessors int
+	// successors are the steps that wait for this one.
+	successors []*step
+	tasks      []*task
+	// rack is the rack on which a rack-local step runs.
 	rack string
 	// gangRun is the number of the gang's latest run.
 	gangRun int64
 	// placed counts the present runs of the step's tasks on each worker.
 	placed map[*worker]int
-	// advice is what the advisor has said, for a queue that has one.
+	// advice holds the advisor's answers, for a queue that has an advisor.
 	advice advice
-	// misfit says that no worker is large enough for a task of the step.
-	misfit bool
-	// readyAt is when the last step before it ended, or the occurrence began.
+	// tooLarge says that no worker is large enough for a task of the step.
+	tooLarge bool
+	// readyAt is when the last predecessor of the step ended, or when the occurrence began.
 	readyAt time.Duration
 }
 
-// wait notes that so many more tasks wait for a worker.
-func (s *step) wait(more int) {
+// addWaiting adds to the number of tasks that wait for a worker.
+func (s *step) addWaiting(more int) {
 	s.waiting += more
 	s.job.waiting += more
 }
 
 func (s *step) ready(now time.Duration) bool {
-	return s.after == 0 && s.open > 0 && now >= s.occ.due
+	return s.openPredecessors == 0 && s.open > 0 && now >= s.occ.due
 }
 
 // task is one task of a step.
@@ -131,28 +130,27 @@
 	step  *step
 	index int
 	done  bool
-	// failedRuns are the numbers of the runs that have ended as failed. Their
-	// numbers are kept, since a worker repeats an end that was recorded but
-	// not acknowledged.
+	// failedRuns are the numbers of the runs that have ended as failed. The numbers are kept,
+	// since a worker repeats an end that was recorded but not acknowledged.
 	failedRuns []int64
 	checkpoint string
-	// runs are the present runs, more than one only of a speculative step.
+	// runs are the present runs; only a task of a speculative step has more than one.
 	runs []*run
-	// last is the number of the task's latest run.
-	last int64
-	// unseen says that a former owner may have started the task on a worker
-	// that has not reported yet.
-	unseen bool
+	// lastRun is the number of the task's latest run.
+	lastRun int64
+	// mayRunUnreported says that a previous owner may have started the task on a worker that
+	// has not reported yet.
+	mayRunUnreported bool
 	// failedOn names the workers on which the task failed.
 	failedOn []string
 	// crashes are the losses of workers that the task may have caused.
 	crashes []crash
-	// trial is the run that is about to begin of a suspect, since trialAt; trialStored is
-	// the latest that is recorded.
+	// trial is the number of the next run of a suspect, which waits to be recorded since
+	// trialAt; trialStored is the latest one that is recorded.
 	trial       int64
 	trialAt     time.Duration
 	trialStored int64
-	// parked tasks of services are not started any more.
+	// parked says that the task, one of a service, is not started any more.
 	parked bool
 	// droppedAt is when the task lost its latest run.
 	droppedAt time.Duration
@@ -169,58 +167,58 @@
 	return !t.done && !t.parked && len(t.runs) == 0
 }
 
-// take notes a run of the task.
-func (t *task) take(r *run) {
+// addRun adds a run of the task.
+func (t *task) addRun(r *run) {
 	if t.waiting() {
-		t.step.wait(-1)
+		t.step.addWaiting(-1)
 	}
 	t.runs = append(t.runs, r)
 }
 
-// drop forgets a run of the task.
-func (t *task) drop(r *run) {
+// removeRun removes a run of the task.
+func (t *task) removeRun(r *run) {
 	for n, other := range t.runs {
 		if other != r {
 			continue
 		}
 		t.runs = append(t.runs[:n], t.runs[n+1:]...)
 		if t.waiting() {
-			t.step.wait(1)
+			t.step.addWaiting(1)
 		}
 		return
 	}
 }
 
-// park keeps the task from being started.
+// park excludes the task from being started.
 func (t *task) park() {
 	if t.waiting() {
-		t.step.wait(-1)
+		t.step.addWaiting(-1)
 	}
 	t.parked = true
 	t.step.open--
 }
 
-// finish notes that the task is done.
+// finish marks the task as done.
 func (t *task) finish() {
 	if t.waiting() {
-		t.step.wait(-1)
+		t.step.addWaiting(-1)
 	}
 	t.done = true
 	t.step.open--
 }
 
-// newJob lays a declaration out. The offset turns times of day into the
-// pool's clock.
+// newJob creates the occurrences, steps and tasks of a declared job. dueAt converts times of
+// day to the pool's clock.
 func newJob(spec *jayspec.Job, now time.Duration, dueAt func(time.Time) time.Duration) *job {
 	j := &job{
 		spec:            spec,
-		since:           now,
+		submittedAt:     now,
 		longRunning:     spec.LongRunning(),
 		openOccurrences: spec.Schedule.Count(),
 	}
-	// A job that a former owner has had for a while has waited already.
+	// A job that was submitted to a previous owner has already waited for some time.
 	if submitted := dueAt(spec.Accepted); submitted > 0 {
-		j.since = min(now, submitted)
+		j.submittedAt = min(now, submitted)
 	}
 	for n := range spec.Schedule.Count() {
 		due := now
@@ -252,15 +250,15 @@
 			s.tasks = append(s.tasks, &task{step: s, index: index})
 		}
 		for _, before := range uniqueSteps(decl.After) {
-			s.after++
-			o.steps[before].next = append(o.steps[before].next, s)
+			s.openPredecessors++
+			o.steps[before].successors = append(o.steps[before].successors, s)
 		}
 		o.steps = append(o.steps, s)
 	}
 	return o
 }
 
-// uniqueSteps drops repeats, which would be counted twice.
+// uniqueSteps removes duplicates, which would be counted twice.
 func uniqueSteps(after []int) []int {
 	var unique []int
 	seen := map[int]bool{}
@@ -273,27 +271,27 @@
 	return unique
 }
 
-// showUnrecorded is after which time a job that is done is shown so, though its
-// end could not be recorded. It is far above what a record takes while the
-// store is well.
-const showUnrecorded = 150 * time.Millisecond
+// showUnrecordedAfter is the time after which a job that is done is shown as done although its
+// end could not be recorded. It is far above the time that recording takes while the store is
+// healthy.
+const showUnrecordedAfter = 150 * time.Millisecond
 
-// shown is the outcome that callers are shown. One that is not recorded could be
-// taken back: an owner that is lost leaves the next one to start again what it
-// does not know to have ended. While the store is away that would keep every
-// answer back until it returns, so a job that is done is shown after a moment:
-// its ends stand with the workers too, which the next owner asks, and a worker
-// with ends that are not recorded is not given away.
-func (j *job) shown(now time.Duration) Outcome {
-	if j.recorded == Open && j.outcome == Done && now-j.endedAt > showUnrecorded {
+// shownOutcome returns the outcome that is shown to callers. An outcome that is not recorded
+// could be revoked: after the loss of an owner the next one restarts everything that it does
+// not know to have ended. While the store is unavailable that would delay every answer until it
+// returns, so a job that is done is shown as done after a short time: the workers keep its ends
+// too, the next owner asks them, and a worker with unrecorded ends is not given to another
+// pool.
+func (j *job) shownOutcome(now time.Duration) Outcome {
+	if j.recorded == Open && j.outcome == Done && now-j.endedAt > showUnrecordedAfter {
 		return Done
 	}
 	return j.recorded
 }
 
-// state is what a caller is shown.
+// state returns the state that is shown to callers.
 func (j *job) state(now time.Duration) State {
-	switch j.shown(now) {
+	switch j.shownOutcome(now) {
 	case Done:
 		return StateDone
 	case Failed:
@@ -308,7 +306,7 @@
 	}
 }
 
-// eachTask calls a function with every task.
+// eachTask calls a function for every task.
 func (j *job) eachTask(do func(*task)) {
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
@@ -319,7 +317,7 @@
 	}
 }
 
-// taskOf returns the task with a name, or nil.
+// taskOf returns the task with an ID, or nil.
 func (j *job) taskOf(id jayport.TaskID) *task {
 	if id.Occurrence < 0 || id.Occurrence >= len(j.occurrences) {
 		return nil
--- a/jaysched/latency.go
+++ b/jaysched/latency.go
@@ -6,104 +6,104 @@
 )
 
 const (
-	// orderLeast and orderMost bound the timeout of an order; a lost one is repeated. A
-	// worker answers within some milliseconds, one behind a slow link or for a slow entry
-	// within some hundred.
-	orderLeast = 150 * time.Millisecond
-	orderMost  = 400 * time.Millisecond
-	// reportLeast and reportMost bound the timeout of a report, on top of the time for
-	// which it may be held back.
-	reportLeast = 250 * time.Millisecond
-	reportMost  = 700 * time.Millisecond
-	// timeoutFactor is how many times the mean latency an answer may take within these
-	// bounds, congestedFactor how many times beyond them, up to congestedMost.
-	timeoutFactor   = 30
-	congestedFactor = 4
-	congestedMost   = 1600 * time.Millisecond
-	// latencyShare divides the difference by which the running mean follows the
-	// newest answer.
-	latencyShare = 8
-	// slowOrder is from which latency of an order fewer are sent at once: startsShrink
-	// of as many, down to startsLeast. Each faster answer allows one more, up to
-	// startsMost; startsFirst are allowed at first.
-	slowOrder    = 250 * time.Millisecond
-	startsShrink = 0.95
-	startsLeast  = 16
-	startsFirst  = 256
-	startsMost   = 4096
+	// minOrderTimeout and maxOrderTimeout limit the timeout of an order; an order without an
+	// answer is repeated. A worker answers within some milliseconds; with a slow link or a slow
+	// entry, within some hundred.
+	minOrderTimeout = 150 * time.Millisecond
+	maxOrderTimeout = 400 * time.Millisecond
+	// minReportTimeout and maxReportTimeout limit the timeout of a report, in addition to the
+	// time by which it may be delayed.
+	minReportTimeout = 250 * time.Millisecond
+	maxReportTimeout = 700 * time.Millisecond
+	// timeoutFactor is the multiple of the mean latency that an answer may take within these
+	// limits, congestedFactor the multiple beyond them, up to maxCongestedTimeout.
+	timeoutFactor       = 30
+	congestedFactor     = 4
+	maxCongestedTimeout = 1600 * time.Millisecond
+	// meanDivisor is the divisor of the difference by which the running mean follows the newest
+	// answer.
+	meanDivisor = 8
+	// slowAnswer is the latency of an order above which the number of starts in flight is
+	// multiplied by startsDecrease, down to minStarts. Each faster answer raises it by one, up
+	// to maxStarts; it begins at initialStarts.
+	slowAnswer     = 250 * time.Millisecond
+	startsDecrease = 0.95
+	minStarts      = 16
+	initialStarts  = 256
+	maxStarts      = 4096
 )
 
-// Latency is how long workers take to answer their owner, and what follows from it. With
-// a fixed timeout, long enough for slow workers, each order whose answer is lost makes its
-// job late. It may be used by several goroutines.
+// Latency tracks how long workers take to answer their owner and derives timeouts and the
+// number of starts in flight from it. With a fixed timeout, long enough for slow workers, each
+// order whose answer is lost would make its job late. It is safe for concurrent use.
 type Latency struct {
 	mu sync.Mutex
 	// mean is a running mean.
 	mean time.Duration
-	// underWay counts the starts that wait for an answer, startsAtOnce is how many may.
-	underWay     int
-	startsAtOnce float64
+	// inFlight counts the starts that wait for an answer, maxInFlight is its limit.
+	inFlight    int
+	maxInFlight float64
 }
 
-// NewLatency returns the latency of workers of which nothing is known yet.
+// NewLatency returns the latency of workers without any observation.
 func NewLatency() *Latency {
-	return &Latency{startsAtOnce: startsFirst}
+	return &Latency{maxInFlight: initialStarts}
 }
 
-// Sent takes in that a start is sent.
+// Sent records that a start is sent.
 func (l *Latency) Sent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.underWay++
+	l.inFlight++
 }
 
-// Answered takes in how long the answer to a start took, or that none came. A lost one
-// says nothing of how long the others take.
+// Answered records the latency of the answer to a start, or that the answer was lost. A lost
+// answer says nothing about the latency of others.
 func (l *Latency) Answered(took time.Duration, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.underWay--
+	l.inFlight--
 	if lost {
 		return
 	}
-	l.mean += (took - l.mean) / latencyShare
-	if took > slowOrder {
-		l.startsAtOnce = max(startsLeast, l.startsAtOnce*startsShrink)
+	l.mean += (took - l.mean) / meanDivisor
+	if took > slowAnswer {
+		l.maxInFlight = max(minStarts, l.maxInFlight*startsDecrease)
 		return
 	}
-	l.startsAtOnce = min(startsMost, l.startsAtOnce+1)
+	l.maxInFlight = min(maxStarts, l.maxInFlight+1)
 }
 
-// Starts is how many more starts may be sent now.
+// Starts returns how many more starts may be sent now.
 //
-// The load that it answers: hundreds of tasks wait in a rush and find room at once, behind
-// a link that carries a few dozen starts a second. Sent together, they hold up the
-// requests that renew the workers' leases until these have ended.
+// It handles this load: in a load spike hundreds of tasks wait and find room at the same time,
+// over a link that carries a few dozen starts a second. Sent together, they would delay the
+// requests that renew the workers' leases until the leases have ended.
 func (l *Latency) Starts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, int(l.startsAtOnce)-l.underWay)
+	return max(0, int(l.maxInFlight)-l.inFlight)
 }
 
-// OrderTimeout is how long to wait for the answer to an order.
+// OrderTimeout returns the timeout for the answer to an order.
 func (l *Latency) OrderTimeout() time.Duration {
-	return l.timeout(orderLeast, orderMost)
+	return l.timeout(minOrderTimeout, maxOrderTimeout)
 }
 
-// ReportTimeout is how long to wait for a report.
+// ReportTimeout returns the timeout for a report.
 func (l *Latency) ReportTimeout() time.Duration {
-	return l.timeout(reportLeast, reportMost)
+	return l.timeout(minReportTimeout, maxReportTimeout)
 }
 
-// timeout is between two bounds. Where nearly all answers take longer, giving them up
-// and asking again makes the way more crowded, so that the longer bound gives way.
+// timeout returns a timeout between two limits. Where nearly all answers take longer, repeating
+// requests that timed out would increase the congestion, so the upper limit is raised.
 func (l *Latency) timeout(least, most time.Duration) time.Duration {
-	mean := l.present()
-	longest := max(most, min(congestedFactor*mean, congestedMost))
+	mean := l.meanLatency()
+	longest := max(most, min(congestedFactor*mean, maxCongestedTimeout))
 	return min(max(least, timeoutFactor*mean), longest)
 }
 
-func (l *Latency) present() time.Duration {
+func (l *Latency) meanLatency() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.mean
--- a/jaysched/latency_test.go
+++ b/jaysched/latency_test.go
@@ -15,20 +15,20 @@
 			l.Answered(took, false)
 		}
 	}
-	is.Equal(l.OrderTimeout(), orderLeast) // nothing is known yet
+	is.Equal(l.OrderTimeout(), minOrderTimeout) // nothing is known yet
 	settle(3 * time.Millisecond)
-	is.Equal(l.OrderTimeout(), orderLeast)
-	is.Equal(l.ReportTimeout(), reportLeast)
+	is.Equal(l.OrderTimeout(), minOrderTimeout)
+	is.Equal(l.ReportTimeout(), minReportTimeout)
 	settle(10 * time.Millisecond)
-	is.True(l.OrderTimeout() > 250*time.Millisecond && l.OrderTimeout() < orderMost)
+	is.True(l.OrderTimeout() > 250*time.Millisecond && l.OrderTimeout() < maxOrderTimeout)
 	settle(80 * time.Millisecond)
-	is.Equal(l.OrderTimeout(), orderMost)
-	is.Equal(l.ReportTimeout(), reportMost)
+	is.Equal(l.OrderTimeout(), maxOrderTimeout)
+	is.Equal(l.ReportTimeout(), maxReportTimeout)
 	settle(time.Second)
-	is.Equal(l.OrderTimeout(), congestedMost)
-	is.Equal(l.ReportTimeout(), congestedMost)
+	is.Equal(l.OrderTimeout(), maxCongestedTimeout)
+	is.Equal(l.ReportTimeout(), maxCongestedTimeout)
 	settle(2 * time.Millisecond)
-	is.Equal(l.OrderTimeout(), orderLeast)
+	is.Equal(l.OrderTimeout(), minOrderTimeout)
 }
 
 func TestStartsAreFewerWhereAnswersAreSlow(t *testing.T) {
@@ -41,8 +41,8 @@
 	t.Run("those under way count", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLatency()
-		is.Equal(l.Starts(), startsFirst)
-		for range startsFirst + 1 {
+		is.Equal(l.Starts(), initialStarts)
+		for range initialStarts + 1 {
 			l.Sent()
 		}
 		is.Equal(l.Starts(), 0)
@@ -50,26 +50,26 @@
 	t.Run("fewer with each slow answer, down to a few", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLatency()
-		answer(l, 10, slowOrder+1, false)
-		is.True(l.Starts() < startsFirst*2/3)
-		answer(l, 100, slowOrder+1, false)
-		is.Equal(l.Starts(), startsLeast)
+		answer(l, 10, slowAnswer+1, false)
+		is.True(l.Starts() < initialStarts*2/3)
+		answer(l, 100, slowAnswer+1, false)
+		is.Equal(l.Starts(), minStarts)
 	})
 	t.Run("more with each fast answer", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLatency()
-		answer(l, 100, slowOrder+1, false)
-		answer(l, 100, slowOrder, false)
-		is.Equal(l.Starts(), startsLeast+100)
-		answer(l, 2*startsMost, slowOrder, false)
-		is.Equal(l.Starts(), startsMost)
+		answer(l, 100, slowAnswer+1, false)
+		answer(l, 100, slowAnswer, false)
+		is.Equal(l.Starts(), minStarts+100)
+		answer(l, 2*maxStarts, slowAnswer, false)
+		is.Equal(l.Starts(), maxStarts)
 	})
 	t.Run("lost answers change nothing", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLatency()
 		answer(l, 100, time.Second, true)
-		is.Equal(l.Starts(), startsFirst)
-		is.Equal(l.OrderTimeout(), orderLeast)
+		is.Equal(l.Starts(), initialStarts)
+		is.Equal(l.OrderTimeout(), minOrderTimeout)
 	})
 }
 
--- a/jaysched/loss.go
+++ b/jaysched/loss.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// rackLossTime is within which time the workers of a rack are lost if the rack is.
-	rackLossTime = time.Second
-	// lossMemory is for how long losses tell how often workers are lost by themselves,
-	// lossBurst the same while many are lost one after the other.
-	lossMemory = 30 * time.Second
-	lossBurst  = 5 * time.Second
+	// rackLossWindow is the time within which all workers of a rack are lost if the rack is
+	// lost.
+	rackLossWindow = time.Second
+	// lossWindow is the time over which losses count for the rate at which workers fail by
+	// themselves, shortLossWindow the same for many losses in quick succession.
+	lossWindow      = 30 * time.Second
+	shortLossWindow = 5 * time.Second
 )
 
 // oneRack reports whether all workers of the pool are in one rack.
@@ -32,30 +33,30 @@
 	at     time.Duration
 }
 
-// noteLoss remembers that a worker was lost.
-func (p *Pool) noteLoss(w *worker, now time.Duration) {
-	p.losses = slices.DeleteFunc(p.losses, func(l workerLoss) bool { return now-l.at > lossMemory })
+// recordLoss records the loss of a worker.
+func (p *Pool) recordLoss(w *worker, now time.Duration) {
+	p.losses = slices.DeleteFunc(p.losses, func(l workerLoss) bool { return now-l.at > lossWindow })
 	p.losses = append(p.losses, workerLoss{worker: w.ID, rack: w.Rack, addr: w.Addr, at: now})
 }
 
-// lossProbability is how likely it is that a worker is lost by itself within a time, by how
-// often the pool has lost others lately that no task is proven to have crashed.
+// lossProbability returns the probability that a worker fails by itself within a time, from the
+// rate of recent losses in the pool, without those that the task is suspected of.
 func (p *Pool) lossProbability(w *worker, t *task, within, now time.Duration) float64 {
 	rate := 0.0
-	for _, period := range [...]time.Duration{lossBurst, lossMemory} {
+	for _, period := range [...]time.Duration{shortLossWindow, lossWindow} {
 		lost := 1
 		for _, l := range p.losses {
-			if now-l.at <= period && l.worker != w.ID && !t.lost(l.worker) {
+			if now-l.at <= period && l.worker != w.ID && !t.crashedWorker(l.worker) {
 				lost++
 			}
 		}
 		workerTime := float64(len(p.sorted)+1) * period.Seconds()
 		rate = max(rate, float64(lost)/workerTime)
 	}
-	return min(certain, rate*within.Seconds())
+	return min(certainProbability, rate*within.Seconds())
 }
 
-// lostAt is until when at the latest a worker that is lost has lived.
+// lostAt returns the latest time at which a lost worker may still have run.
 func (w *worker) lostAt(now time.Duration) time.Duration {
 	if w.missingReports > 0 || w.contact == lapsed {
 		return w.missingSince
@@ -63,23 +64,23 @@
 	return now
 }
 
-// rackLost reports whether a worker was lost together with all others of its rack in the
-// pool, and there were others. What was lost before it joined was not lost with it.
+// rackLost reports whether a worker was lost together with all other workers of its rack in the
+// pool, of which there was at least one. Workers that were lost before it joined do not count.
 func (p *Pool) rackLost(w *worker, now time.Duration) bool {
 	if w.Rack == "" {
 		return false
 	}
 	lost := slices.ContainsFunc(p.losses, func(l workerLoss) bool {
-		return l.rack == w.Rack && l.addr != w.Addr && l.at >= w.joinedAt && now-l.at <= rackLossTime
+		return l.rack == w.Rack && l.addr != w.Addr && l.at >= w.joinedAt && now-l.at <= rackLossWindow
 	})
 	for _, other := range p.sorted {
 		if other == w || other.Rack != w.Rack {
 			continue
 		}
-		if other.contact == connected && !other.ending {
+		if other.contact == connected && !other.confirmedLost {
 			return false
 		}
-		lost = lost || other.ending || other.contact == silent
+		lost = lost || other.confirmedLost || other.contact == silent
 	}
 	return lost
 }
--- a/jaysched/loss_test.go
+++ b/jaysched/loss_test.go
@@ -35,7 +35,7 @@
 	probability("one loss in a while is always reckoned with", 0.1/50, pool())
 	probability("others count", 0.3/50, pool(workerLoss{worker: "a", at: now - time.Second}, workerLoss{worker: "b", at: now}))
 	probability("the task's own do not", 0.1/50, pool(workerLoss{worker: "lost", at: now}, workerLoss{worker: "lost before", at: now - time.Second}))
-	probability("old ones do not", 0.1/50, pool(workerLoss{worker: "a", at: now - lossMemory - 1}))
+	probability("old ones do not", 0.1/50, pool(workerLoss{worker: "a", at: now - lossWindow - 1}))
 	probability("many in a while count beside none of late", 1.2/300, pool(slices.Repeat([]workerLoss{{worker: "a", at: now - 20*time.Second}}, 11)...))
 	t.Run("those that a task is proven to have crashed do not", func(t *testing.T) {
 		is := is.New(t)
@@ -58,7 +58,7 @@
 		is := is.New(t)
 		lost := func(times int, inherited bool) *task {
 			j := &job{inherited: inherited}
-			return &task{step: &step{decl: &jayspec.Step{}, job: j}, crashes: slices.Repeat([]crash{{probability: certain}}, times)}
+			return &task{step: &step{decl: &jayspec.Step{}, job: j}, crashes: slices.Repeat([]crash{{probability: certainProbability}}, times)}
 		}
 		is.True(!lost(3, true).crashesWorkers(false))
 		is.True(lost(4, true).crashesWorkers(false))
--- a/jaysched/lost_test.go
+++ b/jaysched/lost_test.go
@@ -29,8 +29,8 @@
 	declare(w, newSpec("j", 1))
 	w.reports()
 	actions := w.pool.Decide(w.now)
-	is.True(renewals(append(actions, w.sent...))["w0"].Order.Wait <= busyWait) // it has runs that end
-	w.now += busyWait
+	is.True(renewals(append(actions, w.sent...))["w0"].Order.Wait <= busyReportWait) // it has runs that end
+	w.now += busyReportWait
 	w.pool.Silent(refOf("w0"), w.now)
 	again := renewals(w.pool.Decide(w.now))["w0"]
 	is.Equal(again.To.ID, "w0")
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.reports()
-	is.Equal(renewals(w.sent)["w0"].Order.Wait, leaseWait) // each look is paid for
+	is.Equal(renewals(w.sent)["w0"].Order.Wait, idleReportWait) // each look is paid for
 }
 
 func TestRunsThatAreLostWithTheirWorkerAreNoted(t *testing.T) {
--- a/jaysched/model_test.go
+++ b/jaysched/model_test.go
@@ -409,7 +409,7 @@
 			},
 			"crash": func(t *rapid.T) {
 				w := m.workers[worker()]
-				if !w.up || crashes >= mostCrashes-1 {
+				if !w.up || crashes >= maxCrashes-1 {
 					t.Skip("enough")
 				}
 				crashes++
--- a/jaysched/note.go
+++ b/jaysched/note.go
@@ -6,7 +6,7 @@
 	"jaythread/jayport"
 )
 
-// NoteKind is what a note tells.
+// NoteKind is the kind of event that a note reports.
 type NoteKind string
 
 // The kinds of notes. Each is a line in the log.
@@ -23,16 +23,16 @@
 	RunThrottled NoteKind = "run throttled"
 	StartRefused NoteKind = "start refused"
 	EndIgnored   NoteKind = "end ignored"
-	// WorkerReturned is a worker that was started again under its ID.
+	// WorkerReturned is a worker that was restarted under its ID.
 	WorkerReturned NoteKind = "worker returned"
-	// WorkerResized is a worker whose capacity has changed, TaskMisfit a task that no worker
-	// is large enough for.
+	// WorkerResized is a worker whose capacity has changed, TaskMisfit a task that no worker is
+	// large enough for.
 	WorkerResized NoteKind = "worker resized"
 	TaskMisfit    NoteKind = "task fits no worker"
-	// JobGivenUp is a job of which a task crashes its workers.
+	// JobGivenUp is a job with a task that crashes its workers.
 	JobGivenUp NoteKind = "job given up"
-	// CrashAttributed is the loss of a worker that is attributed to a task, TaskParked says that
-	// a service task is not started any more, TaskCleared a suspicion that is taken back.
+	// CrashAttributed is the loss of a worker that is attributed to a task, TaskParked a
+	// service task that is not started any more, TaskCleared a suspicion that is withdrawn.
 	CrashAttributed NoteKind = "crash attributed to task"
 	TaskParked      NoteKind = "task parked"
 	TaskCleared     NoteKind = "task cleared"
@@ -46,8 +46,7 @@
 	WorkerTrusted   NoteKind = "worker trusted"
 )
 
-// Note is a decision, or a change of what the pool believes, with what
-// decided it.
+// Note reports a decision, or a change of the pool's state, with its cause.
 type Note struct {
 	Kind   NoteKind
 	At     time.Duration
@@ -55,10 +54,10 @@
 	Worker string
 	Run    jayport.RunRef
 	Detail string
-	// Since is how old the knowledge is that decided.
+	// Since is the age of the information that the decision was based on.
 	Since time.Duration
-	// Waited is how long the task or job had waited, or how long ago a run that is
-	// over had begun.
+	// Waited is how long the task or job had waited, or how long ago a run that has ended had
+	// begun.
 	Waited time.Duration
 }
 
--- a/jaysched/ownership_test.go
+++ b/jaysched/ownership_test.go
@@ -75,7 +75,7 @@
 	w.pool.OwnerConfirmed(w.now, errLost, w.now)
 	w.run()
 	is.Equal(confirms(w), 1) // not again at once
-	w.now += confirmPause
+	w.now += confirmRetryDelay
 	w.run()
 	is.Equal(confirms(w), 2)
 	w.pool.OwnerConfirmed(w.now, nil, w.now)
--- a/jaysched/misfit.go
+++ b/jaysched/packing.go
@@ -8,26 +8,26 @@
 	"jaythread/jaypool"
 )
 
-// workersAtLeast is how many workers the pool needs whatever their load: those with
-// long-running tasks, and more for tasks that find no room beside these.
+// workersAtLeast returns the minimum number of workers that the pool needs whatever their load:
+// those with long-running tasks, and more for tasks that find no room beside these.
 //
-// The load that it answers: long-running tasks take the memory of all workers and few of
-// their cores. Counted by cores, the pool has more workers than it needs, and a task that
-// fits on none of them waits for as long as the others run, while there are hosts on standby. The same
-// goes for a step of which each worker may run one task only.
+// It handles this load: long-running tasks take the memory of all workers and few of their
+// cores. Counted by cores, the pool has more workers than it needs, and a task that fits on
+// none of them waits for as long as the others run, although there are hosts on standby. The
+// same happens for a step of which each worker may run only one task.
 func (p *Pool) workersAtLeast(now time.Duration) int {
-	if p.holdsBack(now) {
-		// What waits may run somewhere.
+	if p.formerRunsPossible(now) {
+		// Tasks that wait may already run somewhere.
 		return p.longRunWorkers()
 	}
 	k := p.newPacking()
-	for _, t := range p.homeless(now) {
+	for _, t := range p.unplacedTasks(now) {
 		k.place(t)
 	}
 	return k.workers()
 }
 
-// longRunWorkers counts the workers that carry long-running tasks.
+// longRunWorkers counts the workers with long-running tasks.
 func (p *Pool) longRunWorkers() int {
 	count := 0
 	for _, w := range p.sorted {
@@ -38,10 +38,10 @@
 	return count
 }
 
-// homeless returns the tasks that need a worker, the largest first: long-running ones and
-// wait, or run on a worker that is being emptied, and others that wait although no
-// worker could take them if only long-running tasks ran there.
-func (p *Pool) homeless(now time.Duration) []*task {
+// unplacedTasks returns the tasks that need a worker, the largest first: long-running ones that
+// wait, or run on a worker that is being vacated, and others that wait although no worker could
+// take them even if only long-running tasks ran there.
+func (p *Pool) unplacedTasks(now time.Duration) []*task {
 	var tasks []*task
 	for _, j := range p.open {
 		if !j.longRunning && j.waiting == 0 {
@@ -50,7 +50,7 @@
 		for _, o := range j.occurrences {
 			for _, s := range o.steps {
 				if s.ready(now) {
-					tasks = append(tasks, p.homelessOf(s)...)
+					tasks = append(tasks, p.unplacedTasksOf(s)...)
 				}
 			}
 		}
@@ -61,9 +61,9 @@
 	return tasks
 }
 
-func (p *Pool) homelessOf(s *step) []*task {
+func (p *Pool) unplacedTasksOf(s *step) []*task {
 	if s.decl.LongRunning {
-		return slices.DeleteFunc(slices.Clone(s.tasks), func(t *task) bool { return t.done || t.parked || t.settled() })
+		return slices.DeleteFunc(slices.Clone(s.tasks), func(t *task) bool { return t.done || t.parked || t.runsOnUsableWorker() })
 	}
 	if s.waiting == 0 || p.fitsSomewhere(s) {
 		return nil
@@ -71,31 +71,31 @@
 	return slices.DeleteFunc(slices.Clone(s.tasks), func(t *task) bool { return !t.waiting() })
 }
 
-// settled reports whether a task runs where it may stay.
-func (t *task) settled() bool {
+// runsOnUsableWorker reports whether a task runs on a worker where it may stay.
+func (t *task) runsOnUsableWorker() bool {
 	return len(t.runs) > 0 && t.runs[0].worker.usable()
 }
 
-// fitsSomewhere reports whether some worker could take a task of a step if only
-// long-running tasks ran there.
+// fitsSomewhere reports whether some worker could take a task of a step if only long-running
+// tasks ran there.
 func (p *Pool) fitsSomewhere(s *step) bool {
 	return slices.ContainsFunc(p.sorted, func(w *worker) bool { return w.usable() && w.roomBesideLongRuns().Fits(needOf(s)) })
 }
 
-// roomBesideLongRuns is the room of a worker on which only long-running tasks run.
+// roomBesideLongRuns returns the room of a worker on which only long-running tasks run.
 func (w *worker) roomBesideLongRuns() jaypool.Resources {
 	return w.Capacity.Sub(w.longRunNeed)
 }
 
-// packing finds out how many workers some tasks need, beside the long-running ones on the
-// present workers.
+// packing computes by first fit how many workers some tasks need, beside the long-running ones
+// on the present workers.
 type packing struct {
 	bins []*bin
-	// size is the room of a worker that is yet to come.
+	// size is the capacity of an additional worker.
 	size jaypool.Resources
 }
 
-// bin is a worker that is there or yet to come.
+// bin is a present or an additional worker.
 type bin struct {
 	worker *worker
 	room   jaypool.Resources
@@ -104,7 +104,7 @@
 }
 
 func (p *Pool) newPacking() *packing {
-	k := &packing{size: p.largest}
+	k := &packing{size: p.maxCapacity}
 	for _, w := range p.sorted {
 		if w.usable() {
 			k.bins = append(k.bins, &bin{worker: w, room: w.roomBesideLongRuns(), taken: w.longRuns > 0})
@@ -113,8 +113,8 @@
 	return k
 }
 
-// place finds a place for a task: on a worker that is there, one that was added already,
-// or else on one more.
+// place assigns a task to a present worker, an additional one that has room, or else a new
+// additional one.
 func (k *packing) place(t *task) {
 	for _, b := range k.bins {
 		if b.takes(t) {
@@ -127,7 +127,7 @@
 	k.bins = append(k.bins, b)
 }
 
-// workers counts the workers that long-running tasks are on, and those that were added.
+// workers counts the workers with long-running tasks and the additional ones.
 func (k *packing) workers() int {
 	count := 0
 	for _, b := range k.bins {
@@ -143,7 +143,7 @@
 	return b.room.Fits(needOf(t.step)) && (most == 0 || b.count(t.step) < most)
 }
 
-// count is how many tasks of a step the worker has.
+// count returns the number of tasks of a step on the worker.
 func (b *bin) count(s *step) int {
 	count := b.placed[s]
 	if b.worker != nil {
@@ -161,10 +161,10 @@
 	b.placed[t.step]++
 }
 
-// blocked is how many thousandths of a core no short task can use, since long-running ones
-// have taken the memory beside them. A short task is taken to need the mean of those that
-// run or could run.
-func (p *Pool) blocked(short jaypool.Resources) int64 {
+// blockedByMemory returns how many thousandths of a core no short task can use because
+// long-running ones have taken the memory beside them. A short task is assumed to need the mean
+// of those that run or could run.
+func (p *Pool) blockedByMemory(short jaypool.Resources) int64 {
 	if short.ProcessorsMilli == 0 || short.MemoryMegabytes == 0 {
 		return 0
 	}
--- a/jaysched/place.go
+++ b/jaysched/place.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// place starts what can be started now, in the order of the queue.
+// place starts all tasks that can be started now, in the order of the queue.
 func (p *Pool) place(now time.Duration) {
-	held := p.holdsBack(now)
+	held := p.formerRunsPossible(now)
 	p.noRoom = p.noRoom[:0]
 	p.crowded = false
-	p.unreserve()
+	p.clearReservations()
 	if p.InDoubt() {
 		return
 	}
 	for _, j := range p.open {
-		if p.mayStart <= 0 {
+		if p.startsLeft <= 0 {
 			return
 		}
-		if j.waiting == 0 || j.found && p.runsElsewhere(j) {
+		if j.waiting == 0 || j.foundInStore && p.runsElsewhere(j) {
 			continue
 		}
 		for _, o := range j.occurrences {
@@ -32,13 +32,13 @@
 	}
 }
 
-// holdsBack reports whether some worker may still run what a former owner has
-// started there.
-func (p *Pool) holdsBack(now time.Duration) bool {
+// formerRunsPossible reports whether some worker may still have runs that a previous owner
+// started.
+func (p *Pool) formerRunsPossible(now time.Duration) bool {
 	if now >= p.heldUntil {
 		return false
 	}
-	if !p.surveyed || len(p.missing) > 0 {
+	if !p.surveyed || len(p.unlisted) > 0 {
 		return true
 	}
 	for _, w := range p.sorted {
@@ -51,7 +51,7 @@
 
 func (p *Pool) placeStep(s *step, held bool, now time.Duration) {
 	if s.job.advised {
-		p.seekAdvice(s, now)
+		p.requestAdvice(s, now)
 	}
 	if s.decl.RackLocal {
 		s.rack = p.rackFor(s, now)
@@ -65,10 +65,10 @@
 		return
 	}
 	for _, t := range s.tasks {
-		if p.mayStart <= 0 {
+		if p.startsLeft <= 0 {
 			return
 		}
-		if !t.waiting() || now < t.notBefore || held && t.unseen {
+		if !t.waiting() || now < t.notBefore || held && t.mayRunUnreported {
 			continue
 		}
 		if !p.placeTask(t, now) {
@@ -77,46 +77,46 @@
 	}
 }
 
-// placeTask starts a task, or keeps a worker free for it. It returns false if the others
-// of its step find no worker either.
+// placeTask starts a task, or reserves a worker for it. It returns false if the other tasks of
+// its step find no worker either.
 func (p *Pool) placeTask(t *task, now time.Duration) (goOn bool) {
-	w := p.choose(t, now)
+	w := p.chooseWorker(t, now)
 	if w == nil {
-		return p.foundNone(t, now)
+		return p.noWorkerFound(t, now)
 	}
-	number := p.nextRun(t.last)
-	if !p.mayTry(t, number, now) {
+	number := p.nextRun(t.lastRun)
+	if !p.admitTrial(t, number, now) {
 		w.reservedFor = t
-		p.isolated++
+		p.reservedForSuspects++
 		return true
 	}
 	p.start(t, w, number, now)
 	return true
 }
 
-// foundNone notes that no worker takes a task, and keeps one free where that helps. It
-// returns false if the others of its step find none either.
-func (p *Pool) foundNone(t *task, now time.Duration) (goOn bool) {
+// noWorkerFound handles a task for which no worker has room, and reserves a worker where that
+// helps. It returns false if the other tasks of its step find no worker either.
+func (p *Pool) noWorkerFound(t *task, now time.Duration) (goOn bool) {
 	p.crowded = true
 	if t.isolation() > watched {
 		p.reserveIsolated(t, now)
 		return true
 	}
 	p.noteNoRoom(t.step)
-	p.explainMisfit(t.step, now)
+	p.noteTooLarge(t.step, now)
 	return p.reserve(t, now)
 }
 
-// noteNoRoom notes a need that found no worker, if it is for want of room alone.
+// noteNoRoom remembers a need that found no worker, if the only reason is a lack of room.
 func (p *Pool) noteNoRoom(s *step) {
 	if s.decl.RequiredLabel == "" && s.decl.MaxPerInstance == 0 && !s.job.advised {
 		p.noRoom = append(p.noRoom, needOf(s))
 	}
 }
 
-// lacksRoom reports whether a step that needs no more has just found no
-// worker: while jobs are placed, room only becomes less. In a rush with hundreds
-// of jobs waiting this spares the look at every worker for each of them.
+// lacksRoom reports whether a step with no smaller need has just found no worker: while jobs
+// are placed, room only decreases. In a load spike with hundreds of waiting jobs this avoids
+// checking every worker for each of them.
 func (p *Pool) lacksRoom(s *step) bool {
 	need := needOf(s)
 	for _, missing := range p.noRoom {
@@ -127,21 +127,21 @@
 	return false
 }
 
-// placeGang starts all members of a gang at once, or none.
+// placeGang starts all members of a gang together, or none.
 func (p *Pool) placeGang(s *step, held bool, now time.Duration) {
 	var chosen []*worker
 	for _, t := range s.tasks {
-		if !t.waiting() || now < t.notBefore || held && t.unseen {
+		if !t.waiting() || now < t.notBefore || held && t.mayRunUnreported {
 			return
 		}
 	}
 	number := p.nextRun(s.gangRun)
 	for _, t := range s.tasks {
-		w := p.choose(t, now)
+		w := p.chooseWorker(t, now)
 		if w == nil {
 			break
 		}
-		// Room is taken at once, so that the next member sees what is left.
+		// Room is reserved immediately, so that the choice for the next member accounts for it.
 		w.free = w.free.Sub(needOf(s))
 		s.placed[w]++
 		chosen = append(chosen, w)
@@ -157,7 +157,7 @@
 		return
 	}
 	for _, t := range s.tasks {
-		if !p.mayTry(t, number, now) {
+		if !p.admitTrial(t, number, now) {
 			return
 		}
 	}
@@ -167,8 +167,8 @@
 	}
 }
 
-// choose returns the worker for a task, or nil if none has room.
-func (p *Pool) choose(t *task, now time.Duration) *worker {
+// chooseWorker returns the worker for a task, or nil if none has room.
+func (p *Pool) chooseWorker(t *task, now time.Duration) *worker {
 	var best *worker
 	for _, w := range p.sorted {
 		if !p.allows(w, t, now) {
@@ -184,16 +184,17 @@
 // allows reports whether a task may start on a worker now.
 func (p *Pool) allows(w *worker, t *task, now time.Duration) bool {
 	reserved := w.reservedFor != nil && w.reservedFor != t
-	return !reserved && w.free.Fits(t.need()) && p.allowsBesideRoom(w, t, now) && !w.keepsApart(t)
+	return !reserved && w.free.Fits(t.need()) && p.allowsIgnoringRoom(w, t, now) && !w.isolationForbids(t)
 }
 
-// allowsBesideRoom is the same whatever room the worker has.
-func (p *Pool) allowsBesideRoom(w *worker, t *task, now time.Duration) bool {
+// allowsIgnoringRoom reports whether a task may start on a worker, apart from the worker's free
+// room.
+func (p *Pool) allowsIgnoringRoom(w *worker, t *task, now time.Duration) bool {
 	s := t.step
 	switch {
-	case !w.usable() || !p.ownership.since(w.joinedAt):
+	case !w.usable() || !p.ownership.confirmedSince(w.joinedAt):
 		return false
-	case w.strays > 0 || now < w.fullUntil || w.health.avoided(now) || w.health.onTrial() && len(w.runs) > 0:
+	case w.unaccountedRuns > 0 || now < w.fullUntil || w.health.avoided(now) || w.health.onTrial() && len(w.runs) > 0:
 		return false
 	case s.decl.RequiredLabel != "" && !slices.Contains(w.Labels, s.decl.RequiredLabel):
 		return false
@@ -207,9 +208,10 @@
 	}
 }
 
-// better reports whether a suits a task better than b: where it did not fail, where a
-// suspect does the least harm, near its data, beside the tasks that it must be near, on a
-// worker that is well, and where the least room is left, so that other workers stay empty.
+// better reports whether worker a suits a task better than worker b. The criteria, in this
+// order: a worker on which the task did not fail; for a suspect, a worker where a crash does
+// the least harm; near the task's data; on the rack of a rack-local step; a healthy worker; and
+// the least free room, so that other workers stay empty.
 func (p *Pool) better(t *task, a, b *worker, now time.Duration) bool {
 	asSuspect := 0
 	if t.isolation() > watched {
@@ -218,14 +220,14 @@
 	return cmp.Or(
 		compareBool(slices.Contains(t.failedOn, a.ID), slices.Contains(t.failedOn, b.ID)),
 		asSuspect,
-		compareBool(far(t.step, a), far(t.step, b)),
+		compareBool(farFromData(t.step, a), farFromData(t.step, b)),
 		compareBool(offRack(t.step, a), offRack(t.step, b)),
 		compareBool(a.health.onTrial(), b.health.onTrial()),
 		cmp.Compare(a.free.ProcessorsMilli, b.free.ProcessorsMilli),
 	) < 0
 }
 
-func far(s *step, w *worker) bool {
+func farFromData(s *step, w *worker) bool {
 	return s.decl.DataRack != "" && s.decl.DataRack != w.Rack
 }
 
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -12,30 +12,30 @@
 	"jaythread/jayspec"
 )
 
-// Settings are the bounds that a pool keeps to.
+// Settings are the limits that a pool observes.
 type Settings struct {
-	// Lease is how long a worker may run on without hearing from the owner.
+	// Lease is how long a worker may continue its runs without hearing from the owner.
 	Lease time.Duration
-	// Stop is how long a worker takes at most to stop a run.
+	// Stop is the maximum time that a worker takes to stop a run.
 	Stop time.Duration
-	// MoveTime is how long a host takes from pool to pool.
+	// MoveTime is how long a host takes to move from one pool to another.
 	MoveTime time.Duration
-	// FarFactor is how much longer a task takes away from its data or rack.
+	// FarFactor is the factor by which a task takes longer away from its data or rack.
 	FarFactor float64
 }
 
-// Action is what the pool's owner is to do: StartRun, StopRun, ThrottleRun,
+// Action is an action that the pool's owner is to perform: StartRun, StopRun, ThrottleRun,
 // RenewLease, ForgetWorker, AskAdvice or ConfirmOwner.
 type Action interface {
 	isAction()
 }
 
-// StartRun sends a start to a worker. The same one may be asked for again
-// after an answer was lost: it is idempotent by its run.
+// StartRun sends a start order to a worker. The same order may be requested again after an
+// answer was lost: it is idempotent by its run.
 type StartRun struct {
 	To    jayport.WorkerRef
 	Order jayport.StartOrder
-	// Attempt counts the sendings of this run, from 1.
+	// Attempt counts how often the order was sent, from 1.
 	Attempt int
 }
 
@@ -46,20 +46,20 @@
 	Why string
 }
 
-// ThrottleRun sets the share of its speed at which a run works.
+// ThrottleRun sets the speed of a run as a percentage.
 type ThrottleRun struct {
 	To      jayport.WorkerRef
 	Run     jayport.RunRef
 	Percent int
 }
 
-// RenewLease renews a worker's lease and asks for its report.
+// RenewLease renews a worker's lease and requests its report.
 type RenewLease struct {
 	To    jayport.WorkerRef
 	Order jayport.LeaseOrder
 }
 
-// ForgetWorker closes the connections to a worker that is gone.
+// ForgetWorker closes the connections to a worker that has ended.
 type ForgetWorker struct {
 	To jayport.WorkerRef
 }
@@ -70,68 +70,68 @@
 func (StopRun) isAction()      {}
 func (ThrottleRun) isAction()  {}
 
-// Pool is the aggregate. One goroutine uses it.
+// Pool is the scheduling state of one pool. It is not safe for concurrent use.
 type Pool struct {
 	name     string
 	settings Settings
 	term     int64
 	fence    int64
-	// dueAt turns a time of day into the pool's clock.
+	// dueAt converts a time of day to the pool's clock.
 	dueAt func(time.Time) time.Duration
-	// policyOf returns the present policy of a queue, if it still exists.
+	// policyOf returns the present policy of a queue, if the queue still exists.
 	policyOf func(queue string) (jayspec.Policy, bool)
 
 	jobs map[string]*job
-	// open are the jobs that have not ended, in the order in which they are
-	// served.
+	// open are the jobs that have not ended, in the order in which they are served.
 	open []*job
-	// noRoom are needs that no worker could meet in the present decision.
+	// noRoom are the needs that no worker could meet in the present decision.
 	noRoom []jaypool.Resources
 	// crowded says that some task found no worker in the latest decision.
 	crowded bool
-	// isolated counts the workers that are kept free for suspects in the present decision.
-	isolated int
-	// hurried says that something is to be recorded at once.
-	hurried bool
-	// losses are the latest losses of workers.
+	// reservedForSuspects counts the workers that are reserved for suspects in the present
+	// decision.
+	reservedForSuspects int
+	// recordNow says that progress is to be recorded without delay.
+	recordNow bool
+	// losses are the recent losses of workers.
 	losses []workerLoss
-	// mayStart is how many more runs may be ordered in the present decision.
-	mayStart int
-	// reviewAt is when the jobs' prospects are looked at next.
-	reviewAt time.Duration
-	// roomAt is when no task lacked room last.
-	roomAt time.Duration
-	// flushedAt is when something was recorded last.
+	// startsLeft is how many more runs may be started in the present decision.
+	startsLeft int
+	// deadlineReviewAt is when the deadline status of the jobs is reviewed next.
+	deadlineReviewAt time.Duration
+	// lastRoomAt is the latest time at which no task lacked room.
+	lastRoomAt time.Duration
+	// flushedAt is the latest time at which a batch was recorded.
 	flushedAt time.Duration
 	// changed are the jobs whose progress is to be recorded.
 	changed []*job
 	workers map[string]*worker
-	// largest is the most that a worker had of each resource.
-	largest jaypool.Resources
+	// maxCapacity is the largest amount of each resource that any worker had.
+	maxCapacity jaypool.Resources
 	// sorted are the workers in the order of their IDs.
 	sorted []*worker
-	// heldUntil is when the last lease that a former owner granted must have
-	// ended; until then tasks that it may have started wait for the workers
-	// that have not reported yet.
+	// heldUntil is when the last lease that a previous owner granted must have ended; until
+	// then tasks that it may have started wait for the workers that have not reported yet.
 	heldUntil time.Duration
 	// startedAt is when this owner first restored a job.
 	startedAt   time.Duration
 	ownership   ownership
 	unknownJobs unknownJobs
-	// surveyed says that every worker that exists is known, also one that the
-	// list of workers does not name.
+	// surveyed says that every existing worker is known, also those that the list of workers
+	// does not contain.
 	surveyed bool
-	// missing are workers that exist but are not on the list.
-	missing map[string]bool
-	// gone are the workers whose incarnations have ended, by their IDs.
-	gone map[string]gone
-	// trend and offered foresee the pool's use.
-	trend   trend
-	offered offered
-	// expected are jobs that are about to be stored, and since when.
+	// unlisted are the workers that exist but are not on the list.
+	unlisted map[string]bool
+	// endedWorkers are the workers with ended incarnations, by their IDs.
+	endedWorkers map[string]endedIncarnations
+	// trend and offeredWork predict the pool's usage.
+	trend       trend
+	offeredWork offeredWork
+	// expected are the jobs that are about to be stored, with the time at which they were
+	// submitted.
 	expected map[string]time.Duration
-	// vacating are the orders to vacate workers, by their IDs, vacatingUntil is when
-	// they expire.
+	// vacating are the orders to vacate workers, by worker ID; vacatingUntil is when they
+	// expire.
 	vacating      map[string]Vacate
 	vacatingUntil time.Duration
 	actions       []Action
@@ -139,7 +139,7 @@
 	times         *durations
 }
 
-// Option changes how a pool is made.
+// Option configures a new pool.
 type Option func(*Pool)
 
 // WithFence sets the owner's fence and its term, which counts the owners.
@@ -147,18 +147,18 @@
 	return func(p *Pool) { p.fence, p.term = fence, term }
 }
 
-// WithFormerOwner makes tasks that a former owner may have started wait until
-// its leases must have ended, or all workers have reported.
+// WithFormerOwner holds tasks that a previous owner may have started until its leases must have
+// ended, or all workers have reported.
 func WithFormerOwner(heldUntil time.Duration) Option {
 	return func(p *Pool) { p.heldUntil = heldUntil }
 }
 
-// WithDueTimes sets how times of day are turned into the pool's clock.
+// WithDueTimes sets the function that converts times of day to the pool's clock.
 func WithDueTimes(dueAt func(time.Time) time.Duration) Option {
 	return func(p *Pool) { p.dueAt = dueAt }
 }
 
-// WithPolicies sets where the present policy of a queue is found.
+// WithPolicies sets the function that returns the present policy of a queue.
 func WithPolicies(of func(queue string) (jayspec.Policy, bool)) Option {
 	return func(p *Pool) { p.policyOf = of }
 }
@@ -166,20 +166,20 @@
 // NewPool returns a pool without jobs and workers.
 func NewPool(name string, settings Settings, options ...Option) *Pool {
 	p := &Pool{
-		name:     name,
-		settings: settings,
-		term:     1,
-		fence:    1,
-		dueAt:    func(time.Time) time.Duration { return 0 },
-		policyOf: func(string) (jayspec.Policy, bool) { return jayspec.Policy{}, false },
-		jobs:     map[string]*job{},
-		workers:  map[string]*worker{},
-		missing:  map[string]bool{},
-		gone:     map[string]gone{},
-		expected: map[string]time.Duration{},
-
-		times:    newDurations(),
-		mayStart: math.MaxInt,
+		name:         name,
+		settings:     settings,
+		term:         1,
+		fence:        1,
+		dueAt:        func(time.Time) time.Duration { return 0 },
+		policyOf:     func(string) (jayspec.Policy, bool) { return jayspec.Policy{}, false },
+		jobs:         map[string]*job{},
+		workers:      map[string]*worker{},
+		unlisted:     map[string]bool{},
+		endedWorkers: map[string]endedIncarnations{},
+		expected:     map[string]time.Duration{},
+
+		times:      newDurations(),
+		startsLeft: math.MaxInt,
 	}
 	for _, option := range options {
 		option(p)
@@ -197,8 +197,8 @@
 	return p.fence
 }
 
-// StateOf returns what a caller is shown of a job; known is false if the pool
-// has no such job.
+// StateOf returns the state of a job as shown to callers; known is false if the pool has no
+// such job.
 func (p *Pool) StateOf(id string, now time.Duration) (state State, known bool) {
 	j, known := p.jobs[id]
 	if !known {
@@ -207,25 +207,25 @@
 	return j.state(now), true
 }
 
-// Recorded reports whether a job has ended and its end stands in the store.
+// Recorded reports whether a job has ended and its end is recorded in the store.
 func (p *Pool) Recorded(id string) bool {
 	j, known := p.jobs[id]
 	return known && j.recorded != Open
 }
 
-// TimeFor returns the time that a job has from when it was submitted, as far as
-// that is known of its sizes, and zero for one that the pool does not know.
+// TimeFor returns the time from a job's submission to its target, as far as its sizes are
+// known, and zero for an unknown job.
 func (p *Pool) TimeFor(id string) time.Duration {
 	j, known := p.jobs[id]
 	if !known {
 		return 0
 	}
-	return j.target - j.since
+	return j.target - j.submittedAt
 }
 
-// SetStarts sets how many runs may be ordered in the next decision.
+// SetStarts sets how many runs may be started in the next decision.
 func (p *Pool) SetStarts(most int) {
-	p.mayStart = most
+	p.startsLeft = most
 }
 
 // Crowded reports whether tasks wait for room.
@@ -244,8 +244,8 @@
 	return count
 }
 
-// policy is the present policy of a job's queue, or the one that it was
-// accepted under.
+// policy returns the present policy of a job's queue, or the one that the job was accepted
+// under.
 func (p *Pool) policy(j *job) jayspec.Policy {
 	if present, ok := p.policyOf(j.spec.Queue); ok {
 		return present
@@ -253,8 +253,7 @@
 	return j.spec.Policy
 }
 
-// Declare adds a job that this owner has stored. A job that is known already stays
-// as it is.
+// Declare adds a job that this owner has stored. A known job stays unchanged.
 func (p *Pool) Declare(spec *jayspec.Job, now time.Duration) (added bool) {
 	if _, known := p.jobs[spec.ID]; known {
 		return false
@@ -262,25 +261,25 @@
 	j := newJob(spec, now, p.dueAt)
 	chain := p.add(j)
 	if _, expected := p.expected[spec.ID]; !expected {
-		p.offer(spec, chain, now)
+		p.addArrival(spec, chain, now)
 	}
 	delete(p.expected, spec.ID)
 	return true
 }
 
-// add takes a job in and returns how long it takes on its own.
+// add adds a job and returns how long it takes if it runs alone.
 func (p *Pool) add(j *job) (chain time.Duration) {
 	p.jobs[j.spec.ID] = j
 	policy := p.policy(j)
 	j.advised, j.priority = policy.Advised, policy.Priority
-	chain = p.chainOf(j.spec)
-	j.target = j.since + time.Duration(policy.Stretch*float64(chain)) + policy.Objective
+	chain = p.longestChain(j.spec)
+	j.target = j.submittedAt + time.Duration(policy.Stretch*float64(chain)) + policy.Objective
 	p.enqueue(j)
 	return chain
 }
 
-// Cancel ends a job; known is false if the pool has no such job. A job that
-// has ended stays as it ended.
+// Cancel ends a job; known is false if the pool has no such job. A job that has ended keeps its
+// outcome.
 func (p *Pool) Cancel(id string, now time.Duration) (known bool) {
 	j, known := p.jobs[id]
 	if !known {
@@ -288,16 +287,16 @@
 	}
 	if j.outcome == Open {
 		p.end(j, Canceled, now)
-		p.note(Note{Kind: JobEnded, Job: id, Detail: Canceled.String(), Waited: now - j.since}, now)
+		p.note(Note{Kind: JobEnded, Job: id, Detail: Canceled.String(), Waited: now - j.submittedAt}, now)
 	}
 	return true
 }
 
-// end closes a job and stops what still runs of it.
+// end closes a job and stops its remaining runs.
 func (p *Pool) end(j *job, outcome Outcome, now time.Duration) {
 	j.outcome = outcome
 	j.endedAt = now
-	p.touch(j)
+	p.markChanged(j)
 	p.open = slices.DeleteFunc(p.open, func(other *job) bool { return other == j })
 	j.eachTask(func(t *task) {
 		for _, r := range t.runs {
@@ -306,8 +305,7 @@
 	})
 }
 
-// stop tells a worker to stop a run. It is asked for again by Decide until
-// the run has ended.
+// stop tells a worker to stop a run. Decide repeats the order until the run has ended.
 func (p *Pool) stop(r *run, why string, now time.Duration) {
 	if r.phase == stopping || r.phase == stopped {
 		return
@@ -318,7 +316,7 @@
 	p.actions = append(p.actions, StopRun{To: r.worker.workerRef(), Run: r.ref(), Why: why})
 }
 
-// insert keeps the workers in the order of their IDs.
+// insert adds a worker, in the order of the IDs.
 func (p *Pool) insert(w *worker) {
 	p.workers[w.ID] = w
 	at, _ := slices.BinarySearchFunc(p.sorted, w, func(a, b *worker) int { return strings.Compare(a.ID, b.ID) })
--- a/jaysched/pool_test.go
+++ b/jaysched/pool_test.go
@@ -53,8 +53,8 @@
 		return false
 	}
 	declare(w, newSpec("j", 1))
-	w.pass(resendPause)
-	w.pass(resendPause)
+	w.pass(resendDelay)
+	w.pass(resendDelay)
 	is.Equal(len(w.running()), 2)
 	is.Equal(w.starts("j.0.0.0"), 1)
 	is.Equal(w.starts("j.0.0.1"), 1)
@@ -67,7 +67,7 @@
 	actions := w.pool.Decide(w.now)
 	first := actions[0].(StartRun)
 	w.pool.StartAnswered(first.To, first.Order.Run, w.now, &jayport.RefusedError{Reason: jayport.RefusedNoRoom}, w.now)
-	w.pass(refusedPause)
+	w.pass(refusedRetryDelay)
 	is.Equal(w.starts(first.Order.Run.Task.String()), 1)
 	is.Equal(w.running()[first.Order.Run.Task.String()], "w0")
 	for ref := range w.workers["w0"].active {
--- a/jaysched/progress.go
+++ b/jaysched/progress.go
@@ -8,39 +8,39 @@
 	"jaythread/jaywire"
 )
 
-// Batch is what the owner is to record at once. Ends are acknowledged to the
-// workers only once it is: an end that was acknowledged and not recorded would
-// be lost with its owner, and its task would run twice.
+// Batch is the progress that the owner is to record together. Ends are acknowledged to the
+// workers only once it is recorded: an end that was acknowledged and not recorded would be lost
+// with its owner, and its task would run twice.
 type Batch struct {
-	// Progress is by the jobs' IDs.
+	// Progress is the progress of jobs by their IDs.
 	Progress map[string]*jaywire.JobProgress
 	outcomes map[string]Outcome
 	ends     map[*worker]int64
 	trials   map[*task]int64
 }
 
-// touch notes that a job's progress is to be recorded.
-func (p *Pool) touch(j *job) {
+// markChanged marks a job's progress as to be recorded.
+func (p *Pool) markChanged(j *job) {
 	if !j.dirty {
 		j.dirty = true
 		p.changed = append(p.changed, j)
 	}
 }
 
-// recordPause is for how long the end of a task may wait for others to be recorded
-// with it. The end of a job does not wait: its caller does. Nor does what is known of tasks
+// recordDelay is how long the end of a task may wait to be recorded together with others. The
+// end of a job is not delayed, since its caller waits for it. Nor is information about tasks
 // that may crash workers: it would be lost with the owner.
-const recordPause = 40 * time.Millisecond
+const recordDelay = 40 * time.Millisecond
 
-// Recordable reports whether something is to be recorded now.
+// Recordable reports whether progress is to be recorded now.
 func (p *Pool) Recordable(now time.Duration) bool {
-	if p.hurried || slices.ContainsFunc(p.changed, func(j *job) bool { return j.outcome != Open }) {
+	if p.recordNow || slices.ContainsFunc(p.changed, func(j *job) bool { return j.outcome != Open }) {
 		return true
 	}
-	return now >= p.flushedAt+recordPause
+	return now >= p.flushedAt+recordDelay
 }
 
-// Flush returns what is to be recorded, or nil if there is nothing.
+// Flush returns the progress to be recorded, or nil if there is none.
 func (p *Pool) Flush() *Batch {
 	b := &Batch{Progress: map[string]*jaywire.JobProgress{}, outcomes: map[string]Outcome{}, ends: map[*worker]int64{}, trials: map[*task]int64{}}
 	for _, j := range p.changed {
@@ -53,7 +53,7 @@
 			}
 		})
 	}
-	p.changed, p.hurried = p.changed[:0], false
+	p.changed, p.recordNow = p.changed[:0], false
 	for _, w := range p.sorted {
 		if w.processed > w.acknowledged {
 			b.ends[w] = w.processed
@@ -65,8 +65,8 @@
 	return b
 }
 
-// Flushed takes in that a batch stands in the store: its ends are acknowledged
-// with the next request to their workers.
+// Flushed handles a batch that is recorded in the store: its ends are acknowledged with the
+// next request to their workers.
 func (p *Pool) Flushed(b *Batch, now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(b.outcomes)) {
 		outcome := b.outcomes[id]
@@ -87,7 +87,7 @@
 	}
 }
 
-// progress is the record of how far a job has come.
+// progress returns the stored form of a job's progress.
 func (j *job) progress() *jaywire.JobProgress {
 	record := &jaywire.JobProgress{Outcome: jaywire.JobOutcome(j.outcome), Started: j.started}
 	if j.outcome != Open {
@@ -112,7 +112,7 @@
 		}
 		if len(t.failedRuns) > 0 || t.checkpoint != "" || len(t.crashes) > 0 {
 			record.Tasks = append(record.Tasks, &jaywire.TaskProgress{
-				Index: uint32(n), FailedRuns: t.failedRuns, Checkpoint: t.checkpoint, LastRun: t.last, Crashes: t.crashRecords(), TrialRun: t.trial,
+				Index: uint32(n), FailedRuns: t.failedRuns, Checkpoint: t.checkpoint, LastRun: t.lastRun, Crashes: t.crashRecords(), TrialRun: t.trial,
 			})
 		}
 	}
--- a/jaysched/prospect_test.go
+++ b/jaysched/prospect_test.go
@@ -14,29 +14,29 @@
 func TestProspects(t *testing.T) {
 	// A step takes a second; a job has twice its chain and a second more, and three
 	// times that until it is of no use.
-	prospect := func(name string, steps int, after time.Duration, expected prospect, change ...func(*jayspec.Step)) {
+	prospect := func(name string, steps int, after time.Duration, expected deadlineStatus, change ...func(*jayspec.Step)) {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 0)
 			declare(w, newSpec("j", steps, change...))
-			is.New(t).Equal(w.pool.prospectOf(w.pool.jobs["j"], w.now+after), expected)
+			is.New(t).Equal(w.pool.deadlineStatusOf(w.pool.jobs["j"], w.now+after), expected)
 		})
 	}
 	prospect("a new job", 1, 0, onTime)
 	prospect("that can just be on time", 1, 2*time.Second, onTime)
-	prospect("that cannot", 1, 2*time.Second+1, tardy)
-	prospect("that can just be of use", 1, 8*time.Second, tardy)
+	prospect("that cannot", 1, 2*time.Second+1, late)
+	prospect("that can just be of use", 1, 8*time.Second, late)
 	prospect("that cannot", 1, 8*time.Second+1, expired)
 	prospect("steps after one another", 2, 3*time.Second, onTime)
-	prospect("steps after one another, late", 2, 3*time.Second+1, tardy)
+	prospect("steps after one another, late", 2, 3*time.Second+1, late)
 	prospect("of long-running tasks", 1, time.Hour, onTime, longRunning)
 	t.Run("what has run already counts", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1)
 		declare(w, newSpec("j", 1))
 		j := w.pool.jobs["j"]
-		is.Equal(w.pool.prospectOf(j, w.now+600*time.Millisecond), onTime)
+		is.Equal(w.pool.deadlineStatusOf(j, w.now+600*time.Millisecond), onTime)
 		w.pass(600 * time.Millisecond)
-		is.True(w.pool.remaining(j.occurrences[0], w.now) <= 400*time.Millisecond)
+		is.True(w.pool.remainingOccurrenceTime(j.occurrences[0], w.now) <= 400*time.Millisecond)
 	})
 }
 
@@ -63,7 +63,7 @@
 	// Sequence: jobs wait for longer than they have; each time a worker is free, the
 	// oldest of them starts, which is late already.
 	// Cause: jobs were served by their targets, whatever these were still worth.
-	overload := time.Duration(overloadedAfter * float64(1500*time.Millisecond+reportWay))
+	overload := time.Duration(overloadedAfter * float64(1500*time.Millisecond+reportDelay))
 	begins := func(name string, waiting int, length time.Duration, expected string) {
 		t.Run(name, func(t *testing.T) {
 			w := crowd(t, waiting, length)
--- /dev/null
+++ b/jaysched/queue.go
@@ -0,0 +1,33 @@
+package jaysched
+
+import (
+	"cmp"
+	"slices"
+)
+
+// enqueue adds a job to the open jobs, which are kept in the order in which they are served:
+// long-running jobs first, since they serve others all the time, then by the priority of their
+// queue, then by their target.
+//
+// It handles this load: for some seconds a queue gets several times the work that its pool can
+// do. Jobs that are already late come first in this order, so that no job is starved while the
+// load spike lasts; docs/notes/scheduling.md compares it with other orders.
+//
+// Because the queue is kept sorted, it need not be sorted for each decision.
+func (p *Pool) enqueue(j *job) {
+	at, _ := slices.BinarySearchFunc(p.open, j, func(other, j *job) int {
+		// Among equal jobs, the newest is the last.
+		return cmp.Or(compareJobs(other, j), -1)
+	})
+	p.open = slices.Insert(p.open, at, j)
+}
+
+func compareJobs(a, b *job) int {
+	return cmp.Or(
+		compareBool(!a.longRunning, !b.longRunning),
+		compareBool(a.deadlineStatus == expired, b.deadlineStatus == expired),
+		cmp.Compare(a.priority, b.priority),
+		cmp.Compare(a.deadlineStatus, b.deadlineStatus),
+		cmp.Compare(a.target, b.target),
+	)
+}
--- a/jaysched/rack.go
+++ b/jaysched/rack.go
@@ -7,9 +7,9 @@
 	"jaythread/jayspec"
 )
 
-// rackFor returns the rack on which a rack-local step should run: the one on
-// which its tasks run already, or else the one that has room for most of them.
-// On more than one rack all of them are slow.
+// rackFor returns the rack on which a rack-local step should run: the one on which its tasks
+// already run, or else the one with room for most of them. Spread over several racks, all of
+// them are slow.
 func (p *Pool) rackFor(s *step, now time.Duration) string {
 	room := map[string]int{}
 	best := ""
@@ -20,7 +20,7 @@
 		if !p.allows(w, s.tasks[0], now) {
 			continue
 		}
-		room[w.Rack] += min(s.waiting, timesFits(w.free, needOf(s)))
+		room[w.Rack] += min(s.waiting, countFits(w.free, needOf(s)))
 		if best == "" || room[w.Rack] > room[best] {
 			best = w.Rack
 		}
@@ -28,8 +28,8 @@
 	return best
 }
 
-// timesFits is how often a need fits into some room.
-func timesFits(room, need jaypool.Resources) int {
+// countFits returns how many times a need fits into some room.
+func countFits(room, need jaypool.Resources) int {
 	times := 0
 	for room.Fits(need) && times < jayspec.MaxTasks {
 		room = room.Sub(need)
--- a/jaysched/record_test.go
+++ b/jaysched/record_test.go
@@ -58,7 +58,7 @@
 		w.record()
 		w.finish("j", 1, jayport.EndedFailed)
 		recordable(t, w, false)
-		w.now += recordPause
+		w.now += recordDelay
 		recordable(t, w, true)
 	})
 	t.Run("the end of a job does not", func(t *testing.T) {
--- a/jaysched/restore.go
+++ b/jaysched/restore.go
@@ -7,9 +7,9 @@
 	"jaythread/jaywire"
 )
 
-// Restore adds a job with the progress that a former owner has recorded. The
-// progress is nil if there is none. Tasks that the former owner may have
-// started wait until every worker has reported what runs there.
+// Restore adds a job with the progress that a previous owner has recorded. The progress is nil
+// if there is none. Tasks that the previous owner may have started wait until every worker has
+// reported its runs.
 func (p *Pool) Restore(spec *jayspec.Job, progress *jaywire.JobProgress, now time.Duration) {
 	if _, known := p.jobs[spec.ID]; known {
 		return
@@ -22,7 +22,7 @@
 			j.restoreStep(record)
 		}
 	}
-	j.eachTask(func(t *task) { t.unseen = !t.done })
+	j.eachTask(func(t *task) { t.mayRunUnreported = !t.done })
 	if p.startedAt == 0 {
 		p.startedAt = now
 	}
@@ -30,27 +30,26 @@
 	p.giveUpCrashing(j, now)
 }
 
-// takeoverTime is for how long after a takeover the state of a job is not answered because
-// some worker has not reported. A worker reports within some milliseconds; one that
-// is lost does not.
+// takeoverTime is how long after a takeover requests for the state of a job remain unanswered
+// because some worker has not reported. A worker reports within some milliseconds; a lost one
+// does not.
 const takeoverTime = 2 * time.Second
 
-// Settled reports whether the state of a job can be answered. A former owner may have
-// told its caller that the job is done before that stood in the store; the ends of its
-// tasks stand with the workers then, and until they have reported the job looks as if
-// it still ran.
+// Settled reports whether the state of a job can be answered. A previous owner may have told
+// its caller that the job is done before that was recorded; only the workers have the ends of
+// its tasks then, and until they have reported, the job seems to be running.
 func (p *Pool) Settled(id string, now time.Duration) bool {
 	j, known := p.jobs[id]
-	if !known || j.outcome != Open || now >= p.startedAt+takeoverTime || !p.holdsBack(now) {
+	if !known || j.outcome != Open || now >= p.startedAt+takeoverTime || !p.formerRunsPossible(now) {
 		return true
 	}
 	unseen := false
-	j.eachTask(func(t *task) { unseen = unseen || t.unseen && !t.done })
+	j.eachTask(func(t *task) { unseen = unseen || t.mayRunUnreported && !t.done })
 	return !unseen
 }
 
-// RestoreUnreadable adds a job whose recorded progress cannot be read. What runs of
-// it goes on, but nothing of it is started: a task that is done would run twice.
+// RestoreUnreadable adds a job whose recorded progress cannot be read. Its runs continue, but
+// none of its tasks is started: a task that is done would run twice.
 func (p *Pool) RestoreUnreadable(spec *jayspec.Job, now time.Duration) {
 	if _, known := p.jobs[spec.ID]; !known {
 		p.jobs[spec.ID] = newJob(spec, now, p.dueAt)
@@ -83,7 +82,7 @@
 		if int(t.Index) < len(s.tasks) {
 			s.tasks[t.Index].failedRuns = t.FailedRuns
 			s.tasks[t.Index].checkpoint = t.Checkpoint
-			s.tasks[t.Index].last = t.LastRun
+			s.tasks[t.Index].lastRun = t.LastRun
 			s.tasks[t.Index].restoreCrashes(t)
 		}
 	}
@@ -95,8 +94,8 @@
 	if s.open > 0 {
 		return
 	}
-	for _, next := range s.next {
-		next.after--
+	for _, next := range s.successors {
+		next.openPredecessors--
 	}
 	o.openSteps--
 	if o.openSteps == 0 {
--- a/jaysched/suspect.go
+++ b/jaysched/suspect.go
@@ -7,36 +7,38 @@
 )
 
 const (
-	// settleTime is how long a run has to live on a worker before its start no longer
-	// counts as what crashed the worker.
+	// settleTime is how long a run must have been on a worker before its start no longer counts
+	// as a possible cause of a crash of the worker.
 	settleTime = 250 * time.Millisecond
-	// trustTime is how long a run has to live before it is not suspected at all.
+	// trustTime is how long a run must have been on a worker before it is not suspected at all.
 	trustTime = 10 * time.Second
-	// trialWait is for how long a suspect waits for the record of its next run.
-	trialWait = time.Second
-	// isolatedAfter is after how many losses a suspect shares no worker with others.
+	// trialRecordTimeout is how long a suspect waits for the record of its next run.
+	trialRecordTimeout = time.Second
+	// isolatedAfter is the number of losses after which a suspect shares no worker with other
+	// jobs.
 	isolatedAfter = 2
-	// isolatedShare is the part of the workers that is kept free for suspects at most.
+	// isolatedShare is the maximum share of the workers that is reserved for suspects.
 	isolatedShare = 0.5
 )
 
-// isolation is how far a task is kept apart from those of other jobs.
+// isolation is how strictly a task is separated from those of other jobs.
 type isolation uint8
 
 const (
-	// unsuspected tasks caused no loss, for all that is known.
+	// unsuspected tasks are not known to have caused a loss.
 	unsuspected isolation = iota
 	// watched tasks were on a worker that was lost, long after their start.
 	watched
-	// isolatedStart tasks start where nothing else has just been started, and nothing else
+	// isolatedStart tasks start only where no other run has just been started, and no other run
 	// starts there until they have settled.
 	isolatedStart
-	// isolatedRun tasks share their worker only with runs that are trusted.
+	// isolatedRun tasks share their worker only with trusted runs.
 	isolatedRun
 )
 
-// isolation follows from the losses that a task may have caused. A task was once with a rack
-// that was lost by bad luck; one that is again and again may crash all workers of a rack.
+// isolation is derived from the losses that a task may have caused. One loss together with a
+// rack may be a coincidence; a task that is present at such losses repeatedly may crash all
+// workers of a rack.
 func (t *task) isolation() isolation {
 	if len(t.crashes) == 0 {
 		return unsuspected
@@ -58,25 +60,26 @@
 	}
 }
 
-// settled reports whether the worker has lived on for long enough since a run began.
+// settled reports whether the worker has survived long enough since a run began.
 func (r *run) settled() bool {
 	return r.livedFor(settleTime)
 }
 
-// trusted reports whether a run has lived for so long that it crashes no worker.
+// trusted reports whether a run has lasted so long that it is not expected to crash its worker.
 func (r *run) trusted() bool {
 	return r.livedFor(trustTime)
 }
 
-// livedFor reports whether the worker has answered so long after it had a run. A start
-// without an answer may be carried out at any time.
+// livedFor reports whether the worker has answered at least a given time after it had a run. A
+// start without an answer may be carried out at any time.
 func (r *run) livedFor(d time.Duration) bool {
 	return r.confirmedAt > 0 && r.worker.heardAt >= r.confirmedAt+d
 }
 
-// suspects returns the runs that may have caused the loss of a worker, and whether they
-// had just been started: those are more likely than any that it has lived with. The loss
-// of a worker that was to leave is attributed to none of the latter.
+// suspects returns the runs that may have caused the loss of a worker, and whether they had
+// just been started: such runs are more likely causes than any that the worker has survived for
+// longer. If the worker was to leave, its loss is attributed only to runs that had just been
+// started.
 func (w *worker) suspects() (runs []*run, atStart bool) {
 	var untrusted []*run
 	for _, r := range w.inOrder {
@@ -97,29 +100,30 @@
 	}
 }
 
-// lost reports whether a worker was lost that the task may have crashed.
-func (t *task) lost(worker string) bool {
+// crashedWorker reports whether the task may have crashed a worker.
+func (t *task) crashedWorker(worker string) bool {
 	return slices.ContainsFunc(t.crashes, func(c crash) bool { return c.worker == worker })
 }
 
-// crashedIn reports whether a worker was lost in a rack that the task may have crashed.
-func (t *task) crashedIn(rack string) bool {
+// crashedInRack reports whether the task may have crashed a worker in a rack.
+func (t *task) crashedInRack(rack string) bool {
 	return slices.ContainsFunc(t.crashes, func(c crash) bool { return c.rack == rack })
 }
 
-// betterForSuspect compares two workers for a suspect. It is better off in another rack
-// than those where workers were lost, and on a worker that has been there for a while: one
-// that goes down by itself again and again has not. Fewer runs are lost with an empty one.
+// betterForSuspect compares two workers for a suspect. It prefers a rack in which the task lost
+// no worker, a worker that the task did not lose, and one that has been there for some time: a
+// worker that fails repeatedly by itself has not. On a worker with fewer runs, a crash loses
+// less.
 func (t *task) betterForSuspect(a, b *worker, now time.Duration) int {
 	return cmp.Or(
-		compareBool(t.crashedIn(a.Rack), t.crashedIn(b.Rack)),
-		compareBool(t.lost(a.ID), t.lost(b.ID)),
+		compareBool(t.crashedInRack(a.Rack), t.crashedInRack(b.Rack)),
+		compareBool(t.crashedWorker(a.ID), t.crashedWorker(b.ID)),
 		compareBool(now-a.joinedAt < trustTime, now-b.joinedAt < trustTime),
 		cmp.Compare(len(a.runs), len(b.runs)),
 	)
 }
 
-// clearSuspicions takes suspicions back from the runs that a worker has lived with.
+// clearSuspicions withdraws the suspicions against runs that a worker has survived.
 func (p *Pool) clearSuspicions(w *worker, now time.Duration) {
 	if w.suspected == 0 {
 		return
@@ -129,7 +133,7 @@
 		case r.isolation == unsuspected || len(r.task.crashes) == 0:
 		case r.trusted():
 			r.task.crashes = nil
-			p.touch(r.task.step.job)
+			p.markChanged(r.task.step.job)
 			p.note(Note{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "trusted", Waited: now - r.orderedAt}, now)
 		case r.settled() && r.task.isolation() == isolatedStart:
 			for n := range r.task.crashes {
@@ -140,9 +144,9 @@
 	}
 }
 
-// keepsApart reports whether a task must not start on a worker since one of them, or a
-// run that is there, is suspected.
-func (w *worker) keepsApart(t *task) bool {
+// isolationForbids reports whether a task must not start on a worker because it, or a run on
+// the worker, is suspected.
+func (w *worker) isolationForbids(t *task) bool {
 	own := t.isolation()
 	if own <= watched && w.suspected == 0 {
 		return false
@@ -162,8 +166,8 @@
 	})
 }
 
-// reserveIsolated keeps a worker free for a suspect that none may take now: in a rush each
-// gap is filled at once, and there would never be a worker without a run that has just
+// reserveIsolated reserves a worker for a suspect that no worker can take now: in a load spike
+// each gap is filled immediately, and there would never be a worker without a run that has just
 // been started.
 func (p *Pool) reserveIsolated(t *task, now time.Duration) {
 	usable := 0
@@ -174,32 +178,32 @@
 			continue
 		}
 		usable++
-		if w.reservedFor != nil || !w.roomBesideLongRuns().Fits(t.need()) || !p.allowsBesideRoom(w, t, now) {
+		if w.reservedFor != nil || !w.roomBesideLongRuns().Fits(t.need()) || !p.allowsIgnoringRoom(w, t, now) {
 			continue
 		}
-		if in := p.isolatedIn(w, t, now); best == nil || in < bestIn {
+		if in := p.timeToIsolate(w, t, now); best == nil || in < bestIn {
 			best, bestIn = w, in
 		}
 	}
-	if best == nil || p.isolated >= max(1, int(isolatedShare*float64(usable))) {
+	if best == nil || p.reservedForSuspects >= max(1, int(isolatedShare*float64(usable))) {
 		return
 	}
 	best.reservedFor = t
-	p.isolated++
+	p.reservedForSuspects++
 }
 
-// isolatedIn is after which time a suspect should be able to start on a worker on which
-// nothing else is started.
-func (p *Pool) isolatedIn(w *worker, t *task, now time.Duration) time.Duration {
+// timeToIsolate returns the expected time until a suspect can start on a worker on which no
+// other run is started.
+func (p *Pool) timeToIsolate(w *worker, t *task, now time.Duration) time.Duration {
 	in := time.Duration(0)
 	if !w.free.Fits(t.need()) {
-		in = p.freeIn(w, now)
+		in = p.timeToFree(w, now)
 	}
 	for _, r := range w.inOrder {
 		switch {
 		case r.task.step.job == t.step.job:
 		case t.isolation() == isolatedRun && !r.trusted():
-			in = max(in, p.leftOf(r, now))
+			in = max(in, p.remainingTime(r, now))
 		case !r.settled():
 			in = max(in, settleTime)
 		}
@@ -207,21 +211,22 @@
 	return in
 }
 
-// found takes in that a run is known to a worker, which so was not lost with it.
-func (t *task) found(run int64) {
-	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool { return c.unseen && c.run == run })
+// clearUnconfirmed withdraws the loss of a run that a worker knows: the run was not lost with a
+// worker.
+func (t *task) clearUnconfirmed(run int64) {
+	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool { return c.unconfirmed && c.run == run })
 }
 
-// mayTry reports whether the next run of a task may begin. That of a suspect is recorded
-// first: if the owner is lost with the worker, nobody else knows of it.
-func (p *Pool) mayTry(t *task, number int64, now time.Duration) bool {
+// admitTrial reports whether the next run of a task may begin. The run of a suspect is recorded
+// first: if the owner is lost together with the worker, no one else knows of the run.
+func (p *Pool) admitTrial(t *task, number int64, now time.Duration) bool {
 	if t.isolation() <= watched || t.trialStored >= number {
 		return true
 	}
 	if t.trial < number {
 		t.trial, t.trialAt = number, now
-		p.touch(t.step.job)
-		p.hurried = true
+		p.markChanged(t.step.job)
+		p.recordNow = true
 	}
-	return now >= t.trialAt+trialWait
+	return now >= t.trialAt+trialRecordTimeout
 }
--- a/jaysched/suspect_test.go
+++ b/jaysched/suspect_test.go
@@ -142,7 +142,7 @@
 		is := is.New(t)
 		w := newWorld(t, 3)
 		declare(w, newSpec("j", 1, longRunning))
-		for range 2 * mostCrashes {
+		for range 2 * maxCrashes {
 			w.livesOn(trustTime + time.Second)
 			w.crash(0, "j.0.0.0")
 		}
@@ -199,7 +199,7 @@
 		lostAtStart(w)
 		w.run()
 		is.Equal(len(w.running()), 0)
-		w.livesOn(trialWait - settleTime)
+		w.livesOn(trialRecordTimeout - settleTime)
 		is.Equal(len(w.running()), 0)
 		w.livesOn(2 * settleTime)
 		is.Equal(len(w.running()), 2)
@@ -312,7 +312,7 @@
 func TestLossesWithARack(t *testing.T) {
 	t.Run("count from the second on", func(t *testing.T) {
 		is := is.New(t)
-		withRack := crash{worker: "w", rack: "r", atStart: true, probability: certain, rackLost: true}
+		withRack := crash{worker: "w", rack: "r", atStart: true, probability: certainProbability, rackLost: true}
 		suspect := &task{crashes: []crash{withRack}}
 		is.True(suspect.isolation() <= watched)
 		suspect.crashes = append(suspect.crashes, withRack)
@@ -327,7 +327,7 @@
 		w = relist(w)
 		clear(w.workers)
 		w.pool.Surveyed(nil, w.now, w.now)
-		w.now += rackLossTime / 4
+		w.now += rackLossWindow / 4
 		w.addWorker("next")
 		w.workers["next"].info.Rack = "r"
 		w.list()
--- a/jaysched/takeover_test.go
+++ b/jaysched/takeover_test.go
@@ -155,7 +155,7 @@
 		next.run()
 		next.finish("j", 0, jayport.EndedStopped)
 		for ref := range next.workers["w0"].active {
-			is.True(ref.Number > runsPerTerm)
+			is.True(ref.Number > runNumbersPerTerm)
 		}
 		is.Equal(len(next.running()), 2)
 	})
@@ -235,7 +235,7 @@
 	spec := newSpec("j", 1, func(s *jayspec.Step) { s.MaxPerInstance = 1 })
 	declare(first, spec)
 	first.finish("j", 0, jayport.EndedDone)
-	first.now += 2 * showUnrecorded
+	first.now += 2 * showUnrecordedAfter
 	wantState(t, first, "j", StateDone)
 	next := takeOver(t, first, spec)
 	next.workers["w1"].silent = true
@@ -243,7 +243,7 @@
 	survey(next)
 	is.True(!next.pool.Settled("j", next.now))
 	next.workers["w1"].silent = false
-	next.now += silentPause
+	next.now += silentRetryDelay
 	next.run()
 	is.True(next.pool.Settled("j", next.now))
 	next.record()
--- a/jaysched/throttle.go
+++ b/jaysched/throttle.go
@@ -5,38 +5,40 @@
 )
 
 const (
-	// throttlePause is between two changes on one worker: a change takes a while to
-	// work, and what a worker reports of a serving task is a mean of some time.
-	throttlePause = 650 * time.Millisecond
-	// throttleDown is by how much best-effort runs are slowed at once, as a divisor; below
-	// leastSpeed they stand still. From full speed that takes three changes.
-	throttleDown = 2.5
-	leastSpeed   = 10
-	// throttleUp is by how many percent they are let go again at once.
-	throttleUp = 25
-	// wellBelow is the share of its target, in percent, under which a serving
-	// task has room for a best-effort run beside it.
-	wellBelow = 70
-	// throttledInVain is how long best-effort runs stand still beside a serving task that
-	// stays over its target before they are taken for harmless, and
-	// unthrottledFor how long they are left alone then.
-	throttledInVain = 3 * time.Second
-	unthrottledFor  = 10 * time.Second
+	// throttleInterval is the time between two changes on one worker: a change takes some time
+	// to have an effect, and the load that a worker reports of a serving task is a mean over
+	// some time.
+	throttleInterval = 650 * time.Millisecond
+	// slowDownDivisor is the divisor by which the speed of best-effort runs is reduced in one
+	// change; below minSpeed they are suspended. From full speed that takes three changes.
+	slowDownDivisor = 2.5
+	minSpeed        = 10
+	// speedUpStep is how many percentage points of speed they regain in one change.
+	speedUpStep = 25
+	// speedUpBelow is the share of its target, in percent, below which a serving task leaves
+	// room for a best-effort run beside it.
+	speedUpBelow = 70
+	// ineffectiveAfter is how long best-effort runs remain suspended beside a serving task that
+	// stays over its target before they count as not the cause, and unthrottledTime is how long
+	// they are not throttled after that.
+	ineffectiveAfter = 3 * time.Second
+	unthrottledTime  = 10 * time.Second
 )
 
-// throttle is how fast the best-effort runs on one worker may work.
+// throttle is the speed limit of the best-effort runs on one worker.
 type throttle struct {
-	// slowed is by how many percent they are slowed down.
+	// slowed is the reduction of their speed, in percent.
 	slowed int
-	// at is when it may be changed again, stoppedAt since when they stand still.
+	// at is when the speed may be changed again, stoppedAt is since when the runs have been
+	// suspended.
 	at        time.Duration
 	stoppedAt time.Duration
 }
 
 // throttleBestEffort slows best-effort runs down where a serving task beside them is over its
-// target, and lets them go again when it is well below. Best-effort runs disturb their
-// neighbours by amounts that nobody knows beforehand; users of the serving task
-// would wait for as long as the best-effort run runs.
+// target, and speeds them up again when it is well below. How much best-effort runs disturb
+// their neighbours is not known beforehand; without throttling, the users of the serving task
+// would be affected for as long as the best-effort run lasts.
 func (p *Pool) throttleBestEffort(now time.Duration) {
 	for _, w := range p.sorted {
 		if w.bestEffort > 0 && w.contact == connected && now >= w.throttle.at {
@@ -46,30 +48,30 @@
 }
 
 func (p *Pool) throttleWorker(w *worker, now time.Duration) {
-	worst, bestEffort := w.serving()
+	worst, bestEffort := w.servingLoad()
 	if len(bestEffort) == 0 {
 		return
 	}
 	switch {
 	case worst > fullSpeed:
 		w.throttle.slowDown(now)
-	case worst < wellBelow:
-		w.throttle.letGo(now)
+	case worst < speedUpBelow:
+		w.throttle.speedUp(now)
 	}
 	percent := fullSpeed - w.throttle.slowed
 	for _, r := range bestEffort {
 		if r.speed == percent {
 			continue
 		}
-		w.throttle.at = max(w.throttle.at, now+throttlePause)
+		w.throttle.at = max(w.throttle.at, now+throttleInterval)
 		p.note(Note{Kind: RunThrottled, Worker: w.ID, Run: r.ref(), Since: now - w.heardAt}, now)
 		p.actions = append(p.actions, ThrottleRun{To: w.workerRef(), Run: r.ref(), Percent: percent})
 	}
 }
 
-// serving returns the highest share of its target, in percent, that a serving
-// task on the worker takes, and the best-effort runs beside it.
-func (w *worker) serving() (worst int64, bestEffort []*run) {
+// servingLoad returns the highest load of a serving task on the worker in percent of its
+// target, and the best-effort runs beside it.
+func (w *worker) servingLoad() (worst int64, bestEffort []*run) {
 	for _, r := range w.inOrder {
 		decl := r.task.step.decl
 		switch {
@@ -84,23 +86,23 @@
 }
 
 func (p *throttle) slowDown(now time.Duration) {
-	p.at = now + throttlePause
+	p.at = now + throttleInterval
 	if p.slowed == fullSpeed {
-		if now-p.stoppedAt > throttledInVain {
-			p.slowed, p.at = 0, now+unthrottledFor
+		if now-p.stoppedAt > ineffectiveAfter {
+			p.slowed, p.at = 0, now+unthrottledTime
 		}
 		return
 	}
-	left := int(float64(fullSpeed-p.slowed) / throttleDown)
-	if left < leastSpeed {
+	left := int(float64(fullSpeed-p.slowed) / slowDownDivisor)
+	if left < minSpeed {
 		left, p.stoppedAt = 0, now
 	}
 	p.slowed = fullSpeed - left
 }
 
-func (p *throttle) letGo(now time.Duration) {
+func (p *throttle) speedUp(now time.Duration) {
 	if p.slowed > 0 {
-		p.slowed = max(0, p.slowed-throttleUp)
-		p.at = now + throttlePause
+		p.slowed = max(0, p.slowed-speedUpStep)
+		p.at = now + throttleInterval
 	}
 }
--- a/jaysched/unknownjobs.go
+++ b/jaysched/unknownjobs.go
@@ -10,48 +10,47 @@
 
 // unknownJobs are jobs of which workers report runs and that the pool does not know.
 //
-// What goes wrong without them: a former owner that does not know yet that it was
-// replaced stores one more job and begins it. The next owner, which has read the jobs
-// before, takes the ends of its runs for nothing, and lets the workers forget them;
-// then it reads the job, which looks new, and runs it again. One notices it by a task
-// that is started a second or two after a run of it has ended as done.
+// They prevent this failure: a previous owner that does not know yet that it was replaced
+// stores one more job and begins it. The next owner, which has already read the jobs, ignores
+// the ends of its runs and lets the workers forget them; then it reads the job, which looks
+// new, and runs it again. The symptom is a task that is started a second or two after a run of
+// it has ended as done.
 //
-// Why this prevents it: what a worker says of such a job is kept until all jobs are
-// known that were stored before it said so, and the job is not begun before its
-// worker was asked again.
+// Therefore a worker's report of such a job is kept until all jobs are known that were stored
+// before the report, and the job is not begun before its worker has reported again.
 type unknownJobs struct {
-	// tracked says that jobs become known up to a time at all.
+	// tracked says that the owner reports up to which time jobs are known.
 	tracked bool
-	// jobsAsOf is up to when all jobs are known that were stored.
+	// jobsAsOf is the time up to which all stored jobs are known.
 	jobsAsOf time.Duration
-	// seenAt is when a worker first reported a run of each of them.
+	// seenAt is when a worker first reported a run of each job.
 	seenAt map[string]time.Duration
 }
 
-// unknownJobMemory is for how long a job is remembered of which a worker has reported a
-// run; a run that is told to stop is listed for less than a second.
+// unknownJobMemory is how long an unknown job of which a worker has reported a run is
+// remembered; a run that is told to stop is listed for less than a second.
 const unknownJobMemory = time.Minute
 
-// JobsKnown takes in up to when all jobs are known that were submitted.
+// JobsKnown sets the time up to which all submitted jobs are known.
 func (p *Pool) JobsKnown(asOf time.Duration) {
 	p.unknownJobs.tracked = true
 	p.unknownJobs.jobsAsOf = max(p.unknownJobs.jobsAsOf, asOf)
 	maps.DeleteFunc(p.unknownJobs.seenAt, func(_ string, at time.Duration) bool { return at+unknownJobMemory < asOf })
 }
 
-// DeclareFound adds a job that others have stored.
+// DeclareFound adds a job that another owner has stored.
 func (p *Pool) DeclareFound(spec *jayspec.Job, now time.Duration) (added bool) {
 	if !p.Declare(spec, now) {
 		return false
 	}
 	j := p.jobs[spec.ID]
-	j.found, j.inherited = true, true
-	j.eachTask(func(t *task) { t.unseen = true })
+	j.foundInStore, j.inherited = true, true
+	j.eachTask(func(t *task) { t.mayRunUnreported = true })
 	return true
 }
 
-// mayBecomeKnown reports whether a job that a worker has just reported a run of may
-// be one that was stored and is not known yet.
+// mayBecomeKnown reports whether the job of a run that a worker has just reported may be one
+// that was stored and is not known yet.
 func (p *Pool) mayBecomeKnown(w *worker, run jayport.RunRef, now time.Duration) bool {
 	job := run.Task.Job
 	if _, known := p.jobs[job]; known || !p.unknownJobs.tracked {
@@ -76,14 +75,14 @@
 	return true
 }
 
-// runsElsewhere reports whether the latest report of some worker names runs of a job
-// that was not known then: its next report tells what became of them.
+// runsElsewhere reports whether the latest report of some worker has runs of a job that was not
+// known at that time: the worker's next report tells their outcome.
 func (p *Pool) runsElsewhere(j *job) bool {
 	for _, w := range p.sorted {
 		if w.unknownJobs[j.spec.ID] {
 			return true
 		}
 	}
-	j.found = false
+	j.foundInStore = false
 	return false
 }
--- a/jaysched/vacate_test.go
+++ b/jaysched/vacate_test.go
@@ -40,7 +40,7 @@
 		declare(w, newSpec("j", 1))
 		is.Equal(len(w.running()), 0)
 		// The fleet's owner is lost: its order expires.
-		w.pass(vacatingTime)
+		w.pass(vacateOrderTTL)
 		is.Equal(len(w.running()), 2)
 	})
 	t.Run("long-running tasks move one by one", func(t *testing.T) {
--- a/jaysched/worker.go
+++ b/jaysched/worker.go
@@ -9,29 +9,29 @@
 	"jaythread/jayport"
 )
 
-// clockDrift is by how much a worker's clock may be slow, with the platform's
-// two percent rounded up.
+// clockDrift is the maximum share by which a worker's clock may be slow: the two percent of the
+// platform, rounded up.
 const clockDrift = 0.021
 
-// contact is what is known of the way to a worker.
+// contact is the state of the communication with a worker.
 type contact uint8
 
 const (
-	// unconfirmed workers have not yet reported under this owner's fence:
-	// what runs there is not known.
+	// unconfirmed workers have not reported under this owner's fence yet: their runs are not
+	// known.
 	unconfirmed contact = iota
 	// connected workers answered the last request.
 	connected
-	// silent workers did not: their runs go on until the lease ends.
+	// silent workers did not answer: their runs continue until the lease ends.
 	silent
 	// lapsed workers were silent until their lease must have ended.
 	lapsed
 )
 
-// worker is one incarnation of an instance and the runs on it.
+// worker is one incarnation of an instance with its runs.
 type worker struct {
 	jayport.Worker
-	// identified says that the worker reported its incarnation only when it was in use.
+	// identified says that the worker reported its incarnation only after it was in use.
 	identified bool
 	contact    contact
 	// clockAt is when the worker's clock showed clock, or later.
@@ -39,68 +39,67 @@
 	clockAt time.Duration
 	// leaseBound is when the longest lease granted has ended in any case.
 	leaseBound time.Duration
-	// joinedAt is when the pool learned of the worker, heardAt when its last
-	// answer came.
+	// joinedAt is when the pool learned of the worker, heardAt when its last answer arrived.
 	joinedAt time.Duration
-	// answeredAt is when it first reported under this owner's fence.
+	// answeredAt is when the worker first reported under this owner's fence.
 	answeredAt time.Duration
 	heardAt    time.Duration
 	runs       map[jayport.RunRef]*run
 	// inOrder are the same runs in the order of their tasks.
 	inOrder []*run
-	// resendAt is when the first order to it may have to be repeated.
+	// resendAt is when the first order to the worker may have to be repeated.
 	resendAt time.Duration
 	free     jaypool.Resources
-	// longRuns counts the long runs, longRunNeed is what they take together.
+	// longRuns counts the runs of long-running tasks, longRunNeed is their total need.
 	longRuns    int
 	longRunNeed jaypool.Resources
-	// processed is the last end that was taken in, acknowledged the last one
-	// that the worker may forget.
+	// processed is the number of the last end that was handled, acknowledged that of the last
+	// one that the worker may forget.
 	processed    int64
 	acknowledged int64
-	// lastDone is the last end of a task that is done.
+	// lastDone is the number of the last end of a task that is done.
 	lastDone int64
-	// asking says that a request is on its way; askAt is when the next one is
-	// due. missingReports counts the reports that are missing since the last one, missingSince is when
-	// the first of them was.
+	// asking says that a request is in flight; askAt is when the next one is due.
+	// missingReports counts the reports that are missing since the last one, missingSince is
+	// when the first of them was.
 	missingReports int
 	missingSince   time.Duration
 	asking         bool
 	askAt          time.Duration
-	// listed says that the latest list of workers names it.
+	// listed says that the latest list of workers contains the worker.
 	listed bool
-	// strays counts the runs in its latest report that are not reckoned with: they take
-	// room until they have been stopped, and nobody knows how much.
-	strays int
-	// unknownJobs are jobs that its latest report named and that were not known.
+	// unaccountedRuns counts the runs in the latest report that the pool does not account for:
+	// they take an unknown amount of room until they have been stopped.
+	unaccountedRuns int
+	// unknownJobs are the jobs in the latest report that were not known.
 	unknownJobs map[string]bool
-	// reservedFor is the task that alone may start there in the present decision.
+	// reservedFor is the only task that may start there in the present decision.
 	reservedFor *task
-	// closed workers get no new run; urgent ones have theirs stopped, and those
-	// that migrate have theirs moved where that loses little.
+	// closed workers get no new run; the runs of urgent ones are stopped, and those of workers
+	// that migrate are moved where that loses little.
 	closed  bool
 	urgent  bool
 	migrate bool
-	// idleSince is since when nothing has run there.
+	// idleSince is since when the worker has had no runs.
 	idleSince time.Duration
-	// bestEffort counts the runs that take what processors others leave, and throttle is
-	// how fast they may work.
+	// bestEffort counts the runs that use only spare processor time, and throttle limits their
+	// speed.
 	bestEffort int
 	throttle   throttle
-	// health is what its own runs say of it.
+	// health is the worker's health as its own runs show it.
 	health health
-	// fullUntil is until when nothing is started there, since it had less room than it
-	// had reported; fullFor is how long that took last.
+	// fullUntil is until when no run is started there, since it had less room than it had
+	// reported; fullFor is the length of the latest such pause.
 	fullUntil time.Duration
 	fullFor   time.Duration
 	// suspected counts the runs whose tasks may have crashed a worker.
 	suspected int
-	// ending says that the worker is known to be lost, together with others.
-	ending bool
-	// lapsed are the runs that may have caused its loss if it turns out to be lost: they
-	// were given up when its lease had ended.
-	lapsed        []*run
-	lapsedAtStart bool
+	// confirmedLost says that the worker is known to be lost, together with others.
+	confirmedLost bool
+	// lapsedSuspects are the runs that may have caused the loss of the worker if it turns out
+	// to be lost: they were given up when its lease had ended.
+	lapsedSuspects        []*run
+	lapsedSuspectsAtStart bool
 }
 
 // run is one run of a task on a worker.
@@ -110,19 +109,19 @@
 	number int64
 	phase  phase
 	need   jaypool.Resources
-	// orderedAt is when the start was sent, confirmedAt when the worker was
-	// known to have it.
+	// orderedAt is when the start was sent, confirmedAt when the worker was known to have the
+	// run.
 	orderedAt   time.Duration
 	confirmedAt time.Duration
-	// stopWhy is a word for the log.
+	// stopWhy is the reason of the stop, for the log.
 	stopWhy string
-	// checkpoint is what the run was started with: a repeated start must say
+	// checkpoint is the checkpoint that the run was started with: a repeated start must have
 	// the same.
 	checkpoint string
-	// ticket is the advisor's leave, likewise.
+	// ticket is the advisor's ticket that the run was started with, likewise.
 	ticket string
-	// attempt counts how often the start was sent; resendAt is when an order
-	// without an answer may be sent again.
+	// attempt counts how often the start was sent; resendAt is when an order without an answer
+	// may be sent again.
 	attempt  int
 	resendAt time.Duration
 	speed    int
@@ -131,17 +130,17 @@
 	isolation isolation
 }
 
-// phase is what is known of a run.
+// phase is the known state of a run.
 type phase uint8
 
 const (
-	// ordered runs were sent to the worker; no answer yet.
+	// ordered runs were sent to the worker and have no answer yet.
 	ordered phase = iota
-	// unsure runs got no answer: they may have started, or may yet.
-	unsure
+	// unanswered runs got no answer: they may have started, or may still start.
+	unanswered
 	// running runs were reported by the worker.
 	running
-	// stopping runs were told to stop; no answer yet.
+	// stopping runs were told to stop and have no answer yet.
 	stopping
 	// stopped runs will end, as the worker has confirmed.
 	stopped
@@ -151,19 +150,20 @@
 	return jayport.RunRef{Task: r.task.id(), Number: r.number}
 }
 
-// resendAfter notes that the order for the run may be repeated after a pause.
+// resendAfter schedules the repetition of the run's order after a delay.
 func (r *run) resendAfter(now time.Duration) {
-	r.resendAt = now + resendPause
+	r.resendAt = now + resendDelay
 	r.expectAnswer()
 }
 
-// expectAnswer has the worker looked at when the run's order may be overdue.
+// expectAnswer schedules a check of the worker for the time when the run's order may be
+// overdue.
 func (r *run) expectAnswer() {
 	switch r.phase {
-	case unsure, stopping:
+	case unanswered, stopping:
 		r.worker.resendAt = min(r.worker.resendAt, r.resendAt)
 	case ordered:
-		r.worker.resendAt = min(r.worker.resendAt, r.resendAt+answerLost)
+		r.worker.resendAt = min(r.worker.resendAt, r.resendAt+unreportedTimeout)
 	case running, stopped:
 	}
 }
@@ -180,12 +180,12 @@
 	return jayport.WorkerRef{ID: w.ID, Incarnation: w.Incarnation, Addr: w.Addr}
 }
 
-// usable reports whether new runs may be sent there.
+// usable reports whether new runs may be started there.
 func (w *worker) usable() bool {
 	return w.contact == connected && w.listed && !w.Draining && !w.closed
 }
 
-// add takes room for a run.
+// add reserves the room of a run.
 func (w *worker) add(r *run) {
 	w.runs[r.ref()] = r
 	at, _ := slices.BinarySearchFunc(w.inOrder, r, compareRuns)
@@ -204,7 +204,7 @@
 	r.task.step.placed[w]++
 }
 
-// remove gives a run's room back.
+// remove releases the room of a run.
 func (w *worker) remove(r *run, now time.Duration) {
 	if w.runs[r.ref()] != r {
 		return
@@ -231,8 +231,8 @@
 	}
 }
 
-// leaseUntil is the worker's clock when a lease granted now should end, and
-// notes how long it may hold.
+// leaseUntil returns the time on the worker's clock at which a lease granted now should end,
+// and extends leaseBound accordingly.
 func (w *worker) leaseUntil(now, length time.Duration) time.Duration {
 	if w.clockAt == 0 {
 		return 0
@@ -242,26 +242,26 @@
 	return until
 }
 
-// stretched is how long a time on a worker's clock may take.
+// stretched returns the maximum real time for a duration on a worker's clock.
 func stretched(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*clockDrift)
 }
 
-// seeClock notes an answer that shows the worker's clock.
-func (w *worker) seeClock(clock, now time.Duration) {
+// recordClock records the worker's clock as an answer shows it.
+func (w *worker) recordClock(clock, now time.Duration) {
 	if clock > 0 {
 		w.clock, w.clockAt = clock, now
 	}
 	w.heardAt = now
 }
 
-// need is the room that a run of the task takes.
+// need returns the room that a run of the task takes.
 func (t *task) need() jaypool.Resources {
 	return needOf(t.step)
 }
 
-// needOf is the room that a run of the step takes. Filling tasks take what
-// processors are left over.
+// needOf returns the room that a run of the step takes. Best-effort tasks use spare processor
+// time only.
 func needOf(s *step) jaypool.Resources {
 	need := s.decl.Need
 	if s.decl.Fills {
--- a/jaysched/world_test.go
+++ b/jaysched/world_test.go
@@ -83,7 +83,7 @@
 			acted = w.perform(a) || acted
 		}
 		// What is known of tasks that may crash workers is recorded at once.
-		if w.pool.hurried && !w.storeAway {
+		if w.pool.recordNow && !w.storeAway {
 			w.record()
 			acted = true
 		}
