--- a/jaysched/demand.go
+++ b/jaysched/demand.go
@@ -255,7 +255,7 @@
 // stopReportDelay is how long the report of a stopped run's end takes, beyond the stop itself.
 const stopReportDelay = 600 * time.Millisecond
 
-// stopsSettled reports whether no run of a step can still be ending by an order of a previous
+// stopsSettled reports whether no run of a step can still be ending by an order of a former
 // owner. A run that was told to stop is listed as active until it has ended; a new owner that
 // counts it as available would stop more runs than the step can miss.
 func (p *Pool) stopsSettled(s *step, now time.Duration) bool {
