--- a/jaysched/advice_test.go
+++ b/jaysched/advice_test.go
@@ -98,7 +98,7 @@
 		_, count := w.lastAsked()
 		is.Equal(count, 2)
 	})
-	t.Run("a refused ticket is asked for anew", func(t *testing.T) {
+	t.Run("a refused ticket is requested again", func(t *testing.T) {
 		is := is.New(t)
 		w := newAdvisedHarness(t)
 		ask, _ := w.lastAsked()
--- a/jaysched/bounds_test.go
+++ b/jaysched/bounds_test.go
@@ -55,19 +55,19 @@
 		w.decideUnanswered(after)
 		return w.starts("j.0.0.0") == 1 && w.pool.workers["w0"].inOrder[0].attempt == 1
 	})
-	changesAt(t, "one whose outcome was not told after 5.1 s", 5100*time.Millisecond, func(after time.Duration) bool {
+	changesAt(t, "a start whose outcome was not reported is sent again after 5.1 s", 5100*time.Millisecond, func(after time.Duration) bool {
 		w := newHarness(t, 1)
 		w.pool.Declare(newSpec("j", 1, tasks(1, 1000, 100)), w.now)
 		return count[StartRun](w.decideUnanswered(after)) == 1
 	})
-	changesAt(t, "a refused task is tried again after 20 ms", 20*time.Millisecond, func(after time.Duration) bool {
+	changesAt(t, "a refused task is started again after 20 ms", 20*time.Millisecond, func(after time.Duration) bool {
 		w := newHarness(t, 1)
 		w.pool.Declare(newSpec("j", 1, tasks(1, 1000, 100)), w.now)
 		start := w.pool.Decide(w.now)[0].(StartRun)
 		w.pool.StartAnswered(refOf("w0"), start.Order.Run, w.now, &jayport.RefusedError{Reason: jayport.RefusedNoRoom}, w.now)
 		return count[StartRun](w.decideUnanswered(after)) == 0
 	})
-	changesAt(t, "a failed task after 10 ms", 10*time.Millisecond, func(after time.Duration) bool {
+	changesAt(t, "a failed task is started again after 10 ms", 10*time.Millisecond, func(after time.Duration) bool {
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1, tasks(1, 1000, 100)))
 		f := w.workers["w0"]
@@ -101,10 +101,10 @@
 }
 
 func TestBoundsOfReports(t *testing.T) {
-	t.Run("an idle worker may hold its report back for a second", func(t *testing.T) {
+	t.Run("an idle worker may delay its report by a second", func(t *testing.T) {
 		is.New(t).Equal(newHarness(t, 1).pool.workers["w0"].reportWait(), time.Second)
 	})
-	t.Run("one whose runs end soon for 0.4 s", func(t *testing.T) {
+	t.Run("a worker whose runs end soon may delay its report by 0.4 s", func(t *testing.T) {
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1))
 		is.New(t).Equal(w.pool.workers["w0"].reportWait(), 400*time.Millisecond)
@@ -123,13 +123,13 @@
 			w.pool.Reported(refOf("w0"), f.report(w.now), w.now, w.now)
 		}), 100*time.Millisecond)
 	})
-	t.Run("a silent one after 0.2 s", func(t *testing.T) {
+	t.Run("a silent worker is asked again after 0.2 s", func(t *testing.T) {
 		is.New(t).Equal(pause(func(w *harness) {
 			w.pool.Silent(refOf("w0"), w.now)
 			w.pool.Silent(refOf("w0"), w.now)
 		}), 200*time.Millisecond)
 	})
-	changesAt(t, "the ends of tasks wait for 40 ms for others", 40*time.Millisecond, func(after time.Duration) bool {
+	changesAt(t, "the end of a task waits up to 40 ms to be recorded with others", 40*time.Millisecond, func(after time.Duration) bool {
 		w := newHarness(t, 1)
 		w.pool.flushedAt = w.now
 		return w.pool.Recordable(w.now + after)
@@ -160,18 +160,18 @@
 	changesAt(t, "a worker that fails is avoided for 1 s at first", time.Second, func(after time.Duration) bool {
 		return failing(2).avoided(after)
 	})
-	changesAt(t, "for 8 s in the end", 8*time.Second, func(after time.Duration) bool {
+	changesAt(t, "a worker that fails is avoided for at most 8 s", 8*time.Second, func(after time.Duration) bool {
 		return failing(12).avoided(after)
 	})
-	changesAt(t, "an unhealthy one for 0.5 s", 500*time.Millisecond, func(after time.Duration) bool {
+	changesAt(t, "an unhealthy worker is avoided for 0.5 s", 500*time.Millisecond, func(after time.Duration) bool {
 		var h health
 		h.recordRefusal(jayport.RefusedUnhealthy, 0)
 		return h.avoided(after)
 	})
-	t.Run("one failure is no reason", func(t *testing.T) {
+	t.Run("a worker is not avoided after one failure", func(t *testing.T) {
 		is.New(t).True(!failing(1).avoided(1) && !failing(1).onTrial())
 	})
-	changesAt(t, "jobs that are not known are remembered for a minute", time.Minute, func(after time.Duration) bool {
+	changesAt(t, "unknown jobs are remembered for a minute", time.Minute, func(after time.Duration) bool {
 		w := newHarness(t, 1)
 		w.pool.JobsKnown(w.now)
 		w.pool.mayBecomeKnown(w.pool.workers["w0"], jayport.RunRef{Task: jayport.TaskID{Job: "x"}}, w.now)
@@ -203,7 +203,7 @@
 	changesAt(t, "a run that ends within 0.9 s stays", 900*time.Millisecond, func(left time.Duration) bool {
 		return mayMigrate(left, time.Minute)
 	})
-	changesAt(t, "one whose job has less than 1.5 s stays", 1500*time.Millisecond, func(slack time.Duration) bool {
+	changesAt(t, "a run whose job has less than 1.5 s of slack stays", 1500*time.Millisecond, func(slack time.Duration) bool {
 		return mayMigrate(2*time.Second, slack)
 	})
 	t.Run("a run that migrates leaves its worker in 0.25 s", func(t *testing.T) {
@@ -222,7 +222,7 @@
 }
 
 func TestBoundsOfForecasts(t *testing.T) {
-	t.Run("growth counts for 0.8 s", func(t *testing.T) {
+	t.Run("growth is measured over 0.8 s", func(t *testing.T) {
 		is := is.New(t)
 		grown := func(first time.Duration) int64 {
 			var g trend
@@ -255,7 +255,7 @@
 		rate, _ := o.rate(now)
 		is.New(t).True(rate > 60 && rate < 65) // seven jobs of work ten and five of work one in 1.2 s
 	})
-	t.Run("over half a second at least, if they come together", func(t *testing.T) {
+	t.Run("the rate is taken over half a second at least", func(t *testing.T) {
 		var o offeredWork
 		for range 20 {
 			o.add(arrival{at: time.Minute, work: 1, chain: time.Second})
@@ -263,7 +263,7 @@
 		rate, _ := o.rate(time.Minute)
 		is.New(t).Equal(rate, 40.0)
 	})
-	changesAt(t, "over two seconds at most", 2*time.Second, func(after time.Duration) bool {
+	changesAt(t, "the rate is taken over two seconds at most", 2*time.Second, func(after time.Duration) bool {
 		var o offeredWork
 		o.add(arrival{at: time.Minute, work: 1, chain: time.Second})
 		rate, _ := o.rate(time.Minute + after)
@@ -276,7 +276,7 @@
 		_, expected := w.pool.expected["j"]
 		return expected
 	})
-	t.Run("a declared time weighs as much as five that were seen", func(t *testing.T) {
+	t.Run("a declared estimate counts for five observations", func(t *testing.T) {
 		// Tasks take twice as long as declared: after five of them the prediction is halfway,
 		// on the logarithmic scale.
 		is := is.New(t)
@@ -289,7 +289,7 @@
 		learned := w.pool.times.predict("q", time.Second)
 		is.True(learned > 1380*time.Millisecond && learned < 1450*time.Millisecond)
 	})
-	t.Run("the shortest time that is told apart is 10 ms", func(t *testing.T) {
+	t.Run("durations below 10 ms count as 10 ms", func(t *testing.T) {
 		is := is.New(t)
 		is.Equal(logSeconds(5*time.Millisecond), logSeconds(10*time.Millisecond))
 		is.True(logSeconds(11*time.Millisecond) > logSeconds(10*time.Millisecond))
@@ -306,12 +306,12 @@
 		w.pool.reviewDeadlines(w.now)
 		is.New(t).Equal(w.pool.deadlineReviewAt-w.now, 100*time.Millisecond)
 	})
-	changesAt(t, "a job is of use for three times its time", 9*time.Second-time.Second, func(after time.Duration) bool {
+	changesAt(t, "a late job is of use up to three times its allowed time", 9*time.Second-time.Second, func(after time.Duration) bool {
 		w := newHarness(t, 0)
 		declare(w, newSpec("j", 1))
 		return w.pool.deadlineStatusOf(w.pool.jobs["j"], w.now+after) == expired
 	})
-	changesAt(t, "a worker is kept free for a long-running task after 1.7 s", 1700*time.Millisecond, func(after time.Duration) bool {
+	changesAt(t, "a worker is reserved for a long-running task after 1.7 s", 1700*time.Millisecond, func(after time.Duration) bool {
 		w := newHarness(t, 1)
 		declare(w, newSpec("short", 1, tasks(4, 1000, 100)))
 		declare(w, newSpec("service", 1, longRunning, tasks(1, 1000, 800)))
@@ -348,7 +348,7 @@
 		l.Answered(80*time.Millisecond, false)
 		is.New(t).Equal(l.OrderTimeout(), 300*time.Millisecond)
 	})
-	t.Run("each slow answer takes a twentieth of the starts at once", func(t *testing.T) {
+	t.Run("each slow answer reduces the starts in flight by a twentieth", func(t *testing.T) {
 		l := NewLatency()
 		l.Sent()
 		l.Answered(time.Second, false)
@@ -371,7 +371,7 @@
 	named("four workers at least", 40, 1, 4)
 	named("two for each task", 40, 9, 18)
 	named("thirty at most", 40, 30, 30)
-	changesAt(t, "a request that failed is asked again after 0.1 s", 100*time.Millisecond, func(after time.Duration) bool {
+	changesAt(t, "a failed request is repeated after 0.1 s", 100*time.Millisecond, func(after time.Duration) bool {
 		w := newAdvisedHarness(t)
 		ask, _ := w.lastAsked()
 		w.pool.Advised(ask, jayport.Advice{}, errLost, w.now, w.now)
@@ -387,7 +387,7 @@
 }
 
 func TestBoundsOfThrottle(t *testing.T) {
-	t.Run("best-effort runs are slowed to two fifths, to a sixth, and stand still below a tenth", func(t *testing.T) {
+	t.Run("best-effort runs are slowed to two fifths, to a sixth, and are suspended below a tenth", func(t *testing.T) {
 		is := is.New(t)
 		var p throttle
 		for _, slowed := range []int{60, 84, 100} {
@@ -395,17 +395,17 @@
 			is.Equal(p.slowed, slowed)
 		}
 	})
-	t.Run("they are let go by a quarter", func(t *testing.T) {
+	t.Run("they are sped up by a quarter of full speed", func(t *testing.T) {
 		p := throttle{slowed: 100}
 		p.speedUp(0)
 		is.New(t).Equal(p.slowed, 75)
 	})
-	changesAt(t, "what stood still for 3 s in vain is let go", 3*time.Second, func(after time.Duration) bool {
+	changesAt(t, "a suspension without effect ends after 3 s", 3*time.Second, func(after time.Duration) bool {
 		p := throttle{slowed: 100}
 		p.slowDown(after)
 		return p.slowed == 0
 	})
-	t.Run("and left alone for 10 s", func(t *testing.T) {
+	t.Run("no throttling follows for 10 s", func(t *testing.T) {
 		p := throttle{slowed: 100}
 		p.slowDown(time.Minute)
 		is.New(t).Equal(p.at, 70*time.Second)
@@ -413,13 +413,13 @@
 }
 
 func TestBoundsOfConfirmationAndEstimates(t *testing.T) {
-	changesAt(t, "a request for word that failed is asked again after 0.2 s", 200*time.Millisecond, func(after time.Duration) bool {
+	changesAt(t, "a failed request for confirmation is repeated after 0.2 s", 200*time.Millisecond, func(after time.Duration) bool {
 		w := newHarness(t, 1, WithReplaceableOwner(0, time.Second))
 		w.decideUnanswered(10 * time.Millisecond)
 		w.pool.OwnerConfirmed(w.now, errLost, w.now)
 		return count[ConfirmOwner](w.decideUnanswered(after)) == 0
 	})
-	t.Run("declared times are taken to differ by half", func(t *testing.T) {
+	t.Run("declared estimates are assumed to vary by half", func(t *testing.T) {
 		// Tasks that are declared to take one and four seconds all take two: after ten of each,
 		// nearly nine tenths of the difference are gone, on the logarithmic scale.
 		is := is.New(t)
--- a/jaysched/cancel_test.go
+++ b/jaysched/cancel_test.go
@@ -42,7 +42,7 @@
 	// answer, the job is cancelled, and the worker carries out the start afterwards. The
 	// cancellation considered only runs known to be active.
 	lostStarts := func(a Action) bool { _, start := a.(StartRun); return start }
-	t.Run("the worker goes on answering", func(t *testing.T) {
+	t.Run("the worker continues to answer", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		w.lose = lostStarts
@@ -54,7 +54,7 @@
 		reportAgain(w)
 		is.Equal(len(w.running()), 0)
 	})
-	t.Run("it was silent until its lease was over", func(t *testing.T) {
+	t.Run("the worker was silent until its lease had ended", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		w.lose = lostStarts
@@ -99,8 +99,8 @@
 	// its owner is lost before the stop, and the next owner knows only that the job has ended,
 	// or does not know the job. Runs without an open job were not stopped.
 	for name, restore := range map[string]func(*Pool, time.Duration){
-		"its end stands in the store": func(p *Pool, now time.Duration) { p.RestoreEnded("j", Canceled, now) },
-		"its records were removed":    func(*Pool, time.Duration) {},
+		"its end is recorded":      func(p *Pool, now time.Duration) { p.RestoreEnded("j", Canceled, now) },
+		"its records were removed": func(*Pool, time.Duration) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/jaysched/capacity_test.go
+++ b/jaysched/capacity_test.go
@@ -22,7 +22,7 @@
 // Guards against starts beyond a capacity that has shrunk, and against unused room after it has
 // grown.
 func TestCapacityChanges(t *testing.T) {
-	t.Run("what runs beyond it goes on, and nothing starts until there is room", func(t *testing.T) {
+	t.Run("runs beyond it continue, and no run starts until there is room", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1)) // takes 2000
@@ -39,7 +39,7 @@
 		w.finish("j", 0, jayport.EndedDone)
 		is.Equal(w.starts("k.0.0.0"), 1)
 	})
-	t.Run("each resource by itself", func(t *testing.T) {
+	t.Run("each resource counts separately", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1))
@@ -47,7 +47,7 @@
 		declare(w, newSpec("k", 1, single))
 		is.Equal(w.starts("k.0.0.0"), 0) // 200 of 250 megabytes are taken
 	})
-	t.Run("what is being stopped still takes its place", func(t *testing.T) {
+	t.Run("a run that is being stopped still takes room", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1))
@@ -62,7 +62,7 @@
 		w.reports()
 		is.Equal(w.starts("k.0.0.0"), 1)
 	})
-	t.Run("room that has grown is used at once", func(t *testing.T) {
+	t.Run("additional room is used immediately", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		w.resizeWorker("w0", 1000, 1000)
@@ -71,7 +71,7 @@
 		w.resizeWorker("w0", 4000, 1000)
 		is.Equal(len(w.running()), 2)
 	})
-	t.Run("none at all, and back", func(t *testing.T) {
+	t.Run("to zero, and back", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		w.resizeWorker("w0", 0, 0)
@@ -95,7 +95,7 @@
 		w.reportFor(time.Second)
 		is.Equal(len(w.pool.workers["w0"].runs), 0) // the task may start elsewhere
 	})
-	t.Run("gangs, and limits for each worker, reckon with it", func(t *testing.T) {
+	t.Run("gangs and limits per worker observe it", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		w.resizeWorker("w0", 1000, 1000)
@@ -108,7 +108,7 @@
 		w.resizeWorker("w0", 4000, 1000)
 		is.Equal(w.starts("gang.0.0.0"), 1)
 	})
-	t.Run("runs that are to be stopped for another owner take room that nobody knows", func(t *testing.T) {
+	t.Run("no run is started beside unknown runs of another owner", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		stray := jayport.RunRef{Task: jayport.TaskID{Job: "unknown"}, Number: 1}
@@ -121,7 +121,7 @@
 		w.reportFor(time.Second)
 		is.Equal(w.starts("j.0.0.0"), 1)
 	})
-	t.Run("a new owner starts from what the worker says", func(t *testing.T) {
+	t.Run("a new owner uses the capacity that the worker reports", func(t *testing.T) {
 		is := is.New(t)
 		first := newHarness(t, 1)
 		spec := newSpec("j", 1)
@@ -155,7 +155,7 @@
 	}
 	is.True(refused < 50) // four at a time, after increasing delays
 	is.True(w.pool.workers["w0"].fullFor == maxFullTime)
-	t.Run("a start that it takes ends the doubt", func(t *testing.T) {
+	t.Run("an accepted start ends the delay", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		w.pool.Declare(newSpec("j", 1, single), w.now)
@@ -166,7 +166,7 @@
 		is.Equal(len(w.running()), 1)
 		is.Equal(w.pool.workers["w0"].fullFor, time.Duration(0))
 	})
-	t.Run("its next capacity counts at once", func(t *testing.T) {
+	t.Run("a new capacity is used immediately", func(t *testing.T) {
 		is := is.New(t)
 		w.resizeWorker("w0", 1000, 1000)
 		is.Equal(len(w.running()), 1)
--- a/jaysched/crash_test.go
+++ b/jaysched/crash_test.go
@@ -103,7 +103,7 @@
 	givenUp("in the middle of its work", newSpec("j", 1, single), 2*settleTime, "j.0.0.0")
 	givenUp("as the only task of a service", newSpec("j", 1, single, longRunning), 0, "j.0.0.0")
 	givenUp("as a member of a gang", newSpec("j", 1, func(s *jayspec.Step) { s.Gang = true }), 0, "j.0.0.1")
-	givenUp("beside what fills up workers", newSpec("j", 1, single, func(s *jayspec.Step) { s.Fills = true }), 0, "j.0.0.0")
+	givenUp("as a best-effort task", newSpec("j", 1, single, func(s *jayspec.Step) { s.Fills = true }), 0, "j.0.0.0")
 	givenUp("in a later step", newSpec("j", 1, single), 0, "j.0.0.0")
 	t.Run("as one of the tasks of a service", func(t *testing.T) {
 		is := is.New(t)
@@ -145,7 +145,7 @@
 		wantState(t, w, "j", StateCanceled)
 		is.Equal(w.starts("j.0.0.0"), 2)
 	})
-	t.Run("with what it has saved", func(t *testing.T) {
+	t.Run("restarted from its checkpoint", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 6)
 		declare(w, newSpec("j", 1, single, func(s *jayspec.Step) { s.Checkpoint = true }))
@@ -203,7 +203,7 @@
 		wantState(t, w, "j", StateFailed)
 		is.True(w.starts("j.0.0.0") <= maxStartsOfCrasher)
 	})
-	t.Run("several at once", func(t *testing.T) {
+	t.Run("several such tasks", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 4)
 		var crasher []string
@@ -239,7 +239,7 @@
 		next.run()
 		return next
 	}
-	t.Run("each owner sees one", func(t *testing.T) {
+	t.Run("each owner sees one loss", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 4)
 		declare(w, spec)
@@ -251,7 +251,7 @@
 		wantState(t, w, "j", StateFailed)
 		is.True(w.starts("j.0.0.0") <= maxStartsOfCrasher)
 	})
-	t.Run("the first of them is lost with its owner", func(t *testing.T) {
+	t.Run("the record of the first loss is lost with its owner", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, spec)
@@ -267,7 +267,7 @@
 		wantState(t, next, "j", StateFailed)
 		is.True(next.starts("j.0.0.0") <= maxStartsOfCrasher)
 	})
-	t.Run("a suspect's run is lost with its owner", func(t *testing.T) {
+	t.Run("a run of a suspect is lost together with its owner", func(t *testing.T) {
 		// The run was recorded before it began, and no worker has reported it since.
 		is := is.New(t)
 		w := newHarness(t, 4)
@@ -281,7 +281,7 @@
 		next.pool.Restore(spec, progress, next.now)
 		is.Equal(len(next.pool.jobs["j"].occurrences[0].steps[0].tasks[0].crashes), 2)
 	})
-	t.Run("a suspect's run that goes on is not held against it", func(t *testing.T) {
+	t.Run("a run of a suspect that continues does not count", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 4)
 		declare(w, spec)
@@ -294,7 +294,7 @@
 		is.Equal(len(next.running()), 1)
 		is.Equal(len(next.pool.jobs["j"].occurrences[0].steps[0].tasks[0].crashes), 1)
 	})
-	t.Run("the last one is lost before the end is recorded", func(t *testing.T) {
+	t.Run("the owner is lost before the end is recorded", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 4)
 		declare(w, spec)
--- a/jaysched/deadline_test.go
+++ b/jaysched/deadline_test.go
@@ -22,14 +22,14 @@
 		})
 	}
 	status("a new job", 1, 0, onTime)
-	status("that can just be on time", 1, 2*time.Second, onTime)
-	status("that cannot", 1, 2*time.Second+1, late)
-	status("that can just be of use", 1, 8*time.Second, late)
-	status("that cannot", 1, 8*time.Second+1, expired)
-	status("steps after one another", 2, 3*time.Second, onTime)
-	status("steps after one another, late", 2, 3*time.Second+1, late)
-	status("of long-running tasks", 1, time.Hour, onTime, longRunning)
-	t.Run("what has run already counts", func(t *testing.T) {
+	status("a job that can just be on time", 1, 2*time.Second, onTime)
+	status("a job that cannot be on time", 1, 2*time.Second+1, late)
+	status("a job that can just be of use", 1, 8*time.Second, late)
+	status("a job that cannot be of use", 1, 8*time.Second+1, expired)
+	status("sequential steps", 2, 3*time.Second, onTime)
+	status("sequential steps, late", 2, 3*time.Second+1, late)
+	status("long-running tasks", 1, time.Hour, onTime, longRunning)
+	t.Run("the time already run counts", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1))
@@ -70,9 +70,9 @@
 			is.New(t).True(w.pool.jobs[expected].started)
 		})
 	}
-	begins("by targets while hosts may still come", 12, overload-200*time.Millisecond, "old0")
-	begins("the new job once none does", 12, overload+200*time.Millisecond, "new")
-	begins("by targets while what waits can be done in time", 2, overload+200*time.Millisecond, "old0")
+	begins("by target while hosts may still arrive", 12, overload-200*time.Millisecond, "old0")
+	begins("the new job once no host arrives", 12, overload+200*time.Millisecond, "new")
+	begins("by target while the waiting jobs can be done in time", 2, overload+200*time.Millisecond, "old0")
 }
 
 func TestDemandReportsExpiredJobs(t *testing.T) {
--- a/jaysched/durations_test.go
+++ b/jaysched/durations_test.go
@@ -33,7 +33,7 @@
 	t.Run("estimates are trusted at first", func(t *testing.T) {
 		is.New(t).Equal(newDurations().predict("q", time.Second), time.Second)
 	})
-	t.Run("good estimates stay", func(t *testing.T) {
+	t.Run("accurate estimates are kept", func(t *testing.T) {
 		d := learnedDurations(100, func(u float64) (time.Duration, time.Duration) {
 			s := time.Duration((0.2 + 2*u) * float64(time.Second))
 			return s, s
@@ -47,7 +47,7 @@
 		})
 		wantBetween(t, d.predict("q", time.Second), 1800*time.Millisecond, 2200*time.Millisecond)
 	})
-	t.Run("estimates that say nothing give way to the mean", func(t *testing.T) {
+	t.Run("uninformative estimates are replaced by the mean", func(t *testing.T) {
 		// Guards against short jobs that wait behind a long one with a low estimate: the
 		// estimates of a queue are inaccurate in both directions and were used unchanged.
 		d := learnedDurations(200, func(u float64) (time.Duration, time.Duration) {
--- a/jaysched/incarnation_test.go
+++ b/jaysched/incarnation_test.go
@@ -57,29 +57,29 @@
 			is.Equal(len(w.workers["a"].ended), 0) // its ends were acknowledged
 		})
 	}
-	returns("the list tells first", func(w *harness) {
+	returns("the list shows it first", func(w *harness) {
 		w.restart("a", 2000)
 		w.list()
 	})
-	returns("its answer tells first", func(w *harness) {
+	returns("an answer shows it first", func(w *harness) {
 		w.restart("a", 2000)
 		w.pass(busyReportWait)
 		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now)
 		w.run()
 		is.New(w.t).Equal(w.pool.workers["a"], nil) // not used before its entry is listed
 	})
-	returns("the inventory tells first", func(w *harness) {
+	returns("the inventory shows it first", func(w *harness) {
 		w.now += time.Millisecond
 		w.pool.Surveyed(nil, w.now, w.now)
 		w.restart("a", 2000)
 	})
-	returns("within the wait of one request", func(w *harness) {
+	returns("within the delay of one report", func(w *harness) {
 		w.restart("a", 2000)
 		w.now += busyReportWait / 2
 		w.list()
 		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now) // of the former incarnation
 	})
-	returns("under an earlier time of day", func(w *harness) {
+	returns("with a clock that was set back", func(w *harness) {
 		w.restart("a", 500)
 		w.list()
 	})
@@ -88,7 +88,7 @@
 		w.workers["a"].silent = false
 		w.restart("a", 2000)
 	})
-	returns("with an entry of before that is listed once more", func(w *harness) {
+	returns("with an old entry that is listed again", func(w *harness) {
 		before := w.workers["a"].info
 		w.restart("a", 2000)
 		w.list()
@@ -121,7 +121,7 @@
 		is.Equal(len(w.workers["a"].active), 1)
 		is.True(w.pool.workers["a"].clock < time.Hour)
 	})
-	t.Run("nothing of the former one is sent to it", func(t *testing.T) {
+	t.Run("no state of the former incarnation is sent to it", func(t *testing.T) {
 		is := is.New(t)
 		w := newIncarnationHarness(t, 1, 1000)
 		w.reportFor(time.Minute)
@@ -142,7 +142,7 @@
 			}
 		}
 	})
-	t.Run("late answers of the former one are passed over", func(t *testing.T) {
+	t.Run("late answers of the former incarnation are ignored", func(t *testing.T) {
 		is := is.New(t)
 		w := newIncarnationHarness(t, 1, 1000)
 		former := jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}
@@ -164,7 +164,7 @@
 		is.Equal(len(next.runs), 1)
 		is.True(!w.pool.jobs["j"].occurrences[0].steps[0].tasks[0].done)
 	})
-	t.Run("what is being recorded of the former one is not acknowledged to it", func(t *testing.T) {
+	t.Run("ends of the former incarnation are not acknowledged to it", func(t *testing.T) {
 		// Acknowledgements of other ends would make the new incarnation forget ends that were
 		// not processed.
 		is := is.New(t)
@@ -178,7 +178,7 @@
 		w.pool.Flushed(batch, w.now)
 		is.Equal(w.pool.workers["a"].acknowledged, int64(0))
 	})
-	t.Run("a report of another one ends it", func(t *testing.T) {
+	t.Run("a report of another incarnation ends it", func(t *testing.T) {
 		is := is.New(t)
 		w := newIncarnationHarness(t, 1, 1000)
 		declare(w, newSpec("j", 1, single))
@@ -187,7 +187,7 @@
 		is.Equal(w.pool.workers["a"], nil)
 		is.True(w.pool.jobs["j"].occurrences[0].steps[0].tasks[0].waiting())
 	})
-	t.Run("what is known of its health and of advice is forgotten", func(t *testing.T) {
+	t.Run("its health and the advice about it are reset", func(t *testing.T) {
 		is := is.New(t)
 		w := newIncarnationHarness(t, 1, 1000)
 		spec := newSpec("j", 1, single)
@@ -204,7 +204,7 @@
 		is.Equal(len(s.advice.tickets), 0)
 		is.True(!w.pool.workers["a"].health.avoided(w.now))
 	})
-	t.Run("it may be of another kind", func(t *testing.T) {
+	t.Run("it may have another capacity and address", func(t *testing.T) {
 		is := is.New(t)
 		w := newIncarnationHarness(t, 1, 1000)
 		w.restart("a", 2000)
@@ -215,7 +215,7 @@
 		is.Equal(len(w.workers["a"].active), 1) // one of two tasks fits
 		is.Equal(w.pool.workers["a"].workerRef().Addr, "elsewhere:1")
 	})
-	t.Run("an order to vacate goes on", func(t *testing.T) {
+	t.Run("an order to vacate remains valid", func(t *testing.T) {
 		w := newIncarnationHarness(t, 1, 1000)
 		w.pool.SetVacating([]Vacate{{Worker: "a"}}, w.now)
 		w.restart("a", 2000)
@@ -239,7 +239,7 @@
 		is.Equal(len(next.running()), 2)
 		is.Equal(next.starts("j.0.0.0")+next.starts("j.0.0.1"), 1) // the other one continues
 	})
-	t.Run("its loss is held against what it had just started", func(t *testing.T) {
+	t.Run("its loss is attributed to the run that it had just started", func(t *testing.T) {
 		is := is.New(t)
 		w := newIncarnationHarness(t, 1, 1000)
 		declare(w, newSpec("j", 1, single))
@@ -248,7 +248,7 @@
 		w.run()
 		is.Equal(len(w.pool.jobs["j"].occurrences[0].steps[0].tasks[0].crashes), 1)
 	})
-	t.Run("one that tells its incarnation late is the same", func(t *testing.T) {
+	t.Run("a worker that reports its incarnation late is the same", func(t *testing.T) {
 		is := is.New(t)
 		w := newIncarnationHarness(t, 1, 0)
 		declare(w, newSpec("j", 1))
--- a/jaysched/latency_test.go
+++ b/jaysched/latency_test.go
@@ -38,7 +38,7 @@
 			l.Answered(took, lost)
 		}
 	}
-	t.Run("those under way count", func(t *testing.T) {
+	t.Run("starts in flight count", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLatency()
 		is.Equal(l.Starts(), initialStarts)
@@ -47,7 +47,7 @@
 		}
 		is.Equal(l.Starts(), 0)
 	})
-	t.Run("fewer with each slow answer, down to a few", func(t *testing.T) {
+	t.Run("fewer with each slow answer, down to a minimum", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLatency()
 		answer(l, 10, slowAnswer+1, false)
--- a/jaysched/loss_test.go
+++ b/jaysched/loss_test.go
@@ -32,12 +32,12 @@
 		})
 	}
 	// The pool has ten workers, with the lost one; the short window is five seconds.
-	probability("one loss in a while is always reckoned with", 0.1/50, pool())
-	probability("others count", 0.3/50, pool(workerLoss{worker: "a", at: now - time.Second}, workerLoss{worker: "b", at: now}))
-	probability("the task's own do not", 0.1/50, pool(workerLoss{worker: "lost", at: now}, workerLoss{worker: "lost before", at: now - time.Second}))
-	probability("old ones do not", 0.1/50, pool(workerLoss{worker: "a", at: now - lossWindow - 1}))
-	probability("many in a while count beside none of late", 1.2/300, pool(slices.Repeat([]workerLoss{{worker: "a", at: now - 20*time.Second}}, 11)...))
-	t.Run("those that a task is proven to have crashed do not", func(t *testing.T) {
+	probability("one loss is always assumed", 0.1/50, pool())
+	probability("other losses count", 0.3/50, pool(workerLoss{worker: "a", at: now - time.Second}, workerLoss{worker: "b", at: now}))
+	probability("losses that the task may have caused do not", 0.1/50, pool(workerLoss{worker: "lost", at: now}, workerLoss{worker: "lost before", at: now - time.Second}))
+	probability("old losses do not", 0.1/50, pool(workerLoss{worker: "a", at: now - lossWindow - 1}))
+	probability("many losses in the long window count without recent ones", 1.2/300, pool(slices.Repeat([]workerLoss{{worker: "a", at: now - 20*time.Second}}, 11)...))
+	t.Run("losses of a task that was given up do not", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 5)
 		declare(w, newSpec("j", 1, single))
@@ -45,7 +45,7 @@
 		is.Equal(w.pool.jobs["j"].outcome, Failed)
 		is.Equal(len(w.pool.losses), 0)
 	})
-	t.Run("counts until the first report that is missing", func(t *testing.T) {
+	t.Run("the time counts until the first missing report", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		w.pool.Silent(refOf("w0"), w.now)
@@ -54,7 +54,7 @@
 		w.pool.Silent(refOf("w0"), w.now)
 		is.Equal(w.pool.workers["w0"].lostAt(w.now+time.Second), first)
 	})
-	t.Run("five losses prove it without, four of a job that a former owner may have begun", func(t *testing.T) {
+	t.Run("five losses are a proof, four for a job that a former owner may have begun", func(t *testing.T) {
 		is := is.New(t)
 		lost := func(times int, inherited bool) *task {
 			j := &job{inherited: inherited}
@@ -65,7 +65,7 @@
 		is.True(!lost(4, false).crashesWorkers(false))
 		is.True(lost(5, false).crashesWorkers(false))
 	})
-	t.Run("proves nothing of a service task", func(t *testing.T) {
+	t.Run("the probability is no proof for a service task", func(t *testing.T) {
 		is := is.New(t)
 		lossesOf := func(s *jayspec.Step) *task {
 			return &task{step: &step{decl: s, job: &job{}}, crashes: []crash{{rack: "r1", probability: 1e-4}, {rack: "r2", probability: 1e-4}}}
--- a/jaysched/packing_test.go
+++ b/jaysched/packing_test.go
@@ -49,7 +49,7 @@
 	// are on standby: long-running jobs take half of the memory of each worker, another one has
 	// tasks that need most of a worker's memory, and the pool counted only cores, of which it
 	// had more than enough.
-	t.Run("that are long-running", func(t *testing.T) {
+	t.Run("long-running tasks", func(t *testing.T) {
 		w := newHarness(t, 3)
 		declare(w, newSpec("a", 1, longRunning, tasks(3, 100, 500), maxPerInstance(1)))
 		w.reports()
@@ -64,7 +64,7 @@
 		wantWorkers(t, w, 5)
 		is.New(t).Equal(len(w.running()), 5)
 	})
-	t.Run("or end by themselves", func(t *testing.T) {
+	t.Run("tasks that end by themselves", func(t *testing.T) {
 		w := newHarness(t, 3)
 		declare(w, newSpec("a", 1, longRunning, tasks(3, 100, 500), maxPerInstance(1)))
 		w.reports()
@@ -75,7 +75,7 @@
 		declare(w, newSpec("d", 1, tasks(3, 100, 600)))
 		wantWorkers(t, w, 6) // they can never fit
 	})
-	t.Run("but not those that may run somewhere already", func(t *testing.T) {
+	t.Run("tasks that may already run somewhere do not count", func(t *testing.T) {
 		w := newHarness(t, 1, WithFence(2, 2), WithFormerOwner(10*time.Minute))
 		w.workers["w0"].silent = true
 		w.pool.Restore(newSpec("a", 1, longRunning, tasks(3, 100, 800)), nil, w.now)
--- a/jaysched/pool_test.go
+++ b/jaysched/pool_test.go
@@ -126,7 +126,7 @@
 }
 
 func TestFailedTask(t *testing.T) {
-	t.Run("is tried again, and its job fails after so many attempts", func(t *testing.T) {
+	t.Run("is restarted, and its job fails after the allowed attempts", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 4)
 		spec := newSpec("j", 1)
@@ -161,7 +161,7 @@
 		task := next.pool.jobs["j"].occurrences[0].steps[0].tasks[0]
 		is.Equal(len(task.failedRuns), 1)
 	})
-	t.Run("other endings are no failures", func(t *testing.T) {
+	t.Run("other endings are not failures", func(t *testing.T) {
 		for _, how := range []jayport.Ending{jayport.EndedStopped, jayport.EndedLapsed, jayport.EndedBroken, jayport.EndedAlone} {
 			w := newHarness(t, 2)
 			spec := newSpec("j", 1)
--- a/jaysched/rack_test.go
+++ b/jaysched/rack_test.go
@@ -43,10 +43,10 @@
 	t.Run("runs on one rack", func(t *testing.T) {
 		is.New(t).Equal(racks(t), map[string]int{"large": 10})
 	})
-	t.Run("as a gang too", func(t *testing.T) {
+	t.Run("a gang runs on one rack", func(t *testing.T) {
 		is.New(t).Equal(racks(t, func(s *jayspec.Step) { s.Gang = true }), map[string]int{"large": 10})
 	})
-	t.Run("on several if one has no room for all", func(t *testing.T) {
+	t.Run("runs on several racks if no rack has room for all tasks", func(t *testing.T) {
 		on := racks(t, func(s *jayspec.Step) { s.Need.ProcessorsMilli = 1600 })
 		is.New(t).Equal(on["large"], 8)
 		is.New(t).True(on["small"] >= 1)
--- a/jaysched/record_test.go
+++ b/jaysched/record_test.go
@@ -59,7 +59,7 @@
 		w.now += recordDelay
 		recordable(t, w, true)
 	})
-	t.Run("the end of a job does not", func(t *testing.T) {
+	t.Run("the end of a job does not wait", func(t *testing.T) {
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 2))
 		w.finish("j", 0, jayport.EndedDone)
--- a/jaysched/suspect_test.go
+++ b/jaysched/suspect_test.go
@@ -16,7 +16,7 @@
 
 // Guards against giving up a task for losses of workers that it did not cause.
 func TestOtherTasksAreNotGivenUp(t *testing.T) {
-	t.Run("of a task that crashes workers", func(t *testing.T) {
+	t.Run("when another task crashes workers", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 3)
 		w.pool.Declare(newSpec("crasher", 1, single), w.now)
@@ -35,7 +35,7 @@
 		}
 		is.Equal(len(w.running()), 0)
 	})
-	t.Run("of a machine that goes down again and again", func(t *testing.T) {
+	t.Run("when a machine fails repeatedly", func(t *testing.T) {
 		w := newHarness(t, 3)
 		declare(w, newSpec("j", 1, single))
 		for range 10 {
@@ -48,7 +48,7 @@
 		}
 		wantState(t, w, "j", Running)
 	})
-	t.Run("of a machine that comes back under another address", func(t *testing.T) {
+	t.Run("when a machine returns under another address", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		declare(w, newSpec("j", 1, longRunning, func(s *jayspec.Step) { s.MaxPerInstance = 1 }))
@@ -64,7 +64,7 @@
 		w.inventoryLoses("w1+i")
 		wantState(t, w, "j", Running)
 	})
-	t.Run("of a pool that loses worker after worker", func(t *testing.T) {
+	t.Run("when a pool loses worker after worker", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 8)
 		for n := range 6 {
@@ -82,7 +82,7 @@
 		}
 		is.Equal(len(w.running()), 6)
 	})
-	t.Run("of a rack that loses power", func(t *testing.T) {
+	t.Run("when a rack loses power", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 6)
 		for _, f := range w.workers {
@@ -108,7 +108,7 @@
 			is.True(w.pool.jobs["j"].occurrences[0].steps[0].tasks[n].isolation() <= watched)
 		}
 	})
-	t.Run("of a task that crashes the workers of a small rack one after the other", func(t *testing.T) {
+	t.Run("when another task crashes the workers of a small rack one after the other", func(t *testing.T) {
 		// Each worker is the only one of its rack while it lives.
 		w := newHarness(t, 0)
 		w.pool.Declare(newSpec("crasher", 1, single), w.now)
@@ -128,7 +128,7 @@
 		wantState(t, w, "crasher", StateFailed)
 		wantState(t, w, "j", Running)
 	})
-	t.Run("of workers that were to leave", func(t *testing.T) {
+	t.Run("when a draining worker is lost", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1))
@@ -138,7 +138,7 @@
 		w.crashWorker("w0")
 		is.Equal(len(w.pool.jobs["j"].occurrences[0].steps[0].tasks[0].crashes), 0)
 	})
-	t.Run("of workers that were lost long after its start", func(t *testing.T) {
+	t.Run("when workers are lost long after its start", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 3)
 		declare(w, newSpec("j", 1, longRunning))
@@ -170,7 +170,7 @@
 			}
 		}
 	}
-	t.Run("start where nothing else has just been started, and nothing beside them", func(t *testing.T) {
+	t.Run("start only on workers without recent starts, and no run starts beside them", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		lostAtStart(w)
@@ -181,7 +181,7 @@
 		is.True(w.running()["k.0.0.0"] != at)
 		is.True(w.running()["k.0.0.1"] != at)
 	})
-	t.Run("are followed by others once they have settled", func(t *testing.T) {
+	t.Run("share their worker once they have settled", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		lostAtStart(w)
@@ -192,7 +192,7 @@
 		is.Equal(len(w.running()), 4)
 		is.Equal(w.pool.jobs["j"].occurrences[0].steps[0].tasks[0].isolation(), watched)
 	})
-	t.Run("start once their run is recorded, or after a while", func(t *testing.T) {
+	t.Run("start once their run is recorded, or after a timeout", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		w.storeDown = true
@@ -204,7 +204,7 @@
 		w.reportFor(2 * settleTime)
 		is.Equal(len(w.running()), 2)
 	})
-	t.Run("are recorded at once", func(t *testing.T) {
+	t.Run("are recorded without delay", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		declare(w, newSpec("before", 1))
@@ -215,7 +215,7 @@
 		w.pool.Ended(refOf(w.running()["j.0.0.0"]), "test", w.now)
 		is.True(w.pool.Recordable(w.now))
 	})
-	t.Run("are looked at soon", func(t *testing.T) {
+	t.Run("shorten the delay of the next report", func(t *testing.T) {
 		w := newHarness(t, 1)
 		lostAtStart(w)
 		w.sent = nil
@@ -225,7 +225,7 @@
 			is.New(t).Equal(renewals(w.sent)[id].Order.Wait, settleTime)
 		}
 	})
-	t.Run("find a worker in a rush", func(t *testing.T) {
+	t.Run("find a worker during a load spike", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		declare(w, newSpec("j", 1, single))
@@ -244,7 +244,7 @@
 			w.endFirstRuns(100 * time.Millisecond)
 		}
 	})
-	t.Run("take no more than a part of the workers for themselves", func(t *testing.T) {
+	t.Run("reserve no more than a share of the workers", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 4)
 		spec := newSpec("j", 1)
@@ -269,7 +269,7 @@
 		}
 		is.Equal(reserved, 1) // of the three that are left
 	})
-	t.Run("are held against no task while a cut-off worker may live", func(t *testing.T) {
+	t.Run("are not named while a partitioned worker may be alive", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1, single))
@@ -280,7 +280,7 @@
 		w.crashWorker("w0")
 		is.Equal(len(first.crashes), 1) // now the loss is known
 	})
-	t.Run("are forgotten once it answers again", func(t *testing.T) {
+	t.Run("are cleared once the partitioned worker answers again", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1, single))
@@ -318,7 +318,7 @@
 		suspect.crashes = append(suspect.crashes, withRack)
 		is.Equal(suspect.isolation(), isolatedRun)
 	})
-	t.Run("are none of workers that joined after the others were lost", func(t *testing.T) {
+	t.Run("do not include workers that joined after the others were lost", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		for _, f := range w.workers {
@@ -370,7 +370,7 @@
 			is.True(suspect.betterForSuspect(b, a, now) > 0)
 		})
 	}
-	prefers("another rack", at("r1", time.Second, 3), at("lost", time.Minute, 0))
-	prefers("one that has been there for long", at("r1", trustTime, 3), at("r2", trustTime-time.Second, 0))
-	prefers("the one with fewer runs", at("r1", trustTime, 1), at("r2", trustTime, 2))
+	prefers("a worker in another rack", at("r1", time.Second, 3), at("lost", time.Minute, 0))
+	prefers("a worker that joined long ago", at("r1", trustTime, 3), at("r2", trustTime-time.Second, 0))
+	prefers("a worker with fewer runs", at("r1", trustTime, 1), at("r2", trustTime, 2))
 }
--- a/jaysched/takeover_test.go
+++ b/jaysched/takeover_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestTakeover(t *testing.T) {
-	t.Run("what runs is found and goes on", func(t *testing.T) {
+	t.Run("runs are adopted and continue", func(t *testing.T) {
 		is := is.New(t)
 		first := newHarness(t, 2)
 		spec := newSpec("j", 1)
@@ -47,7 +47,7 @@
 		next.record()
 		wantState(t, next, "j", StateDone)
 	})
-	t.Run("nothing starts twice before each worker has reported", func(t *testing.T) {
+	t.Run("no task starts twice before each worker has reported", func(t *testing.T) {
 		// Guards against a task that is started again after a run has ended as done: an owner
 		// is lost, and the next one starts unfinished tasks before the workers have reported
 		// their runs. A worker that had not reported was taken for an idle one.
@@ -111,7 +111,7 @@
 		next.pass(time.Second)
 		is.Equal(next.starts("j.0.0.0"), 1)
 	})
-	t.Run("the end of an older run does not tell that no newer one runs", func(t *testing.T) {
+	t.Run("the end of an older run does not exclude a newer one", func(t *testing.T) {
 		// Guards against two runs of a task at the same time: a task is stopped on one worker
 		// and started on another, the owner is lost before it acknowledges the end, and the
 		// next owner receives the end first. Any report about a task counted as information
@@ -169,7 +169,7 @@
 		is.Equal(next.starts("j.0.0.0"), 0)
 		is.Equal(len(next.running()), 2) // the second step
 	})
-	t.Run("runs of jobs that nobody wants are stopped", func(t *testing.T) {
+	t.Run("runs of ended jobs are stopped", func(t *testing.T) {
 		is := is.New(t)
 		first := newHarness(t, 1)
 		declare(first, newSpec("j", 1))
@@ -242,7 +242,7 @@
 	is.True(next.pool.Settled("j", next.now))
 	next.record()
 	wantState(t, next, "j", StateDone)
-	t.Run("a worker that is lost holds the answer up for a while only", func(t *testing.T) {
+	t.Run("a lost worker delays the answer for a limited time", func(t *testing.T) {
 		is := is.New(t)
 		third := takeOver(t, first, spec)
 		third.workers["w1"].silent = true
--- a/jaysched/throttle_test.go
+++ b/jaysched/throttle_test.go
@@ -73,7 +73,7 @@
 		is.Equal(w.reportTail(180, time.Second), 0) // just below the target: no change
 		is.Equal(w.reportTail(100, 5*time.Second), 100)
 	})
-	t.Run("not for ever if they are not the cause", func(t *testing.T) {
+	t.Run("not without limit if they are not the cause", func(t *testing.T) {
 		is := is.New(t)
 		w := sharedWorker(t)
 		is.Equal(w.reportTail(300, 2500*time.Millisecond), 0)
--- a/jaysched/unknownjobs_test.go
+++ b/jaysched/unknownjobs_test.go
@@ -29,7 +29,7 @@
 	// with a slow store: the new owner reads the jobs; the former one, which does not know of
 	// it yet, stores and begins one more job; its tasks end; the new owner asks the workers,
 	// and reads the job later. Ends of an unknown job were discarded.
-	t.Run("and that has ended meanwhile is done", func(t *testing.T) {
+	t.Run("is done if its runs have ended in the meantime", func(t *testing.T) {
 		is := is.New(t)
 		w, job := newTakeoverOfUnknownJob(t)
 		w.finish(job, 0, jayport.EndedDone)
@@ -43,7 +43,7 @@
 		wantState(t, w, job, StateDone)
 		is.Equal(w.starts("j.0.0.0"), 0)
 	})
-	t.Run("and that runs goes on", func(t *testing.T) {
+	t.Run("continues if it runs", func(t *testing.T) {
 		is := is.New(t)
 		w, job := newTakeoverOfUnknownJob(t)
 		running := len(w.running())
@@ -55,7 +55,7 @@
 		w.record()
 		wantState(t, w, job, StateDone)
 	})
-	t.Run("is unknown in the end if nobody has stored it", func(t *testing.T) {
+	t.Run("is stopped if no owner has stored it", func(t *testing.T) {
 		is := is.New(t)
 		w, _ := newTakeoverOfUnknownJob(t)
 		reportAgain(w)
--- a/jaysched/vacate_test.go
+++ b/jaysched/vacate_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestVacating(t *testing.T) {
-	t.Run("an idle worker is vacated at once and opened again later", func(t *testing.T) {
+	t.Run("an idle worker is vacated immediately and opened again later", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		w.pool.SetVacating([]Vacate{{Worker: "w0"}}, w.now)
@@ -62,7 +62,7 @@
 		is.Equal(len(w.workers["w1"].active), 2)
 		is.True(vacated(w, "w0"))
 	})
-	t.Run("a long-running task that has nowhere to go stays", func(t *testing.T) {
+	t.Run("a long-running task without room elsewhere stays", func(t *testing.T) {
 		// Guards against a long-running task that no longer runs: the only worker with room is
 		// vacated for maintenance, and the task was stopped although no other worker had room.
 		is := is.New(t)
@@ -80,7 +80,7 @@
 		is.Equal(len(w.running()), 2)
 		is.True(!vacated(w, "w0"))
 	})
-	t.Run("unless it is urgent", func(t *testing.T) {
+	t.Run("other tasks are stopped if the order is urgent", func(t *testing.T) {
 		// Guards against a wave that is late although most of its time was left: a host has a
 		// task that takes longer than the wave, and the host waited for the task to end by
 		// itself.
@@ -96,7 +96,7 @@
 }
 
 func TestDemand(t *testing.T) {
-	t.Run("is what runs or could run now", func(t *testing.T) {
+	t.Run("covers tasks that run or could run now", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		is.Equal(w.pool.Demand(w.now).NeedMilli, int64(0))
@@ -104,7 +104,7 @@
 		w.pass(2 * time.Second)
 		is.Equal(w.pool.Demand(w.now).NeedMilli, int64(6000))
 	})
-	t.Run("runs ahead of a rush", func(t *testing.T) {
+	t.Run("predicts a load spike", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		for n := range 10 {
