--- a/jaysched/rack_test.go
+++ b/jaysched/rack_test.go
@@ -11,12 +11,11 @@
 )
 
 func TestRackLocalStep(t *testing.T) {
-	// Symptom: a step takes several times as long as it should.
-	// Sequence: its tasks must be on one rack; a worker of a small rack has the
-	// least room left, and gets the first task.
-	// Cause: the rack was no part of the choice.
+	// Guards against a step that takes several times as long as it should: its tasks must be on
+	// one rack, but a worker of a small rack has the least room left and gets the first task.
+	// The choice of a worker ignored the rack.
 	racks := func(t *testing.T, change ...func(*jayspec.Step)) map[string]int {
-		w := newWorld(t, 0)
+		w := newHarness(t, 0)
 		for n := range 6 {
 			w.addWorker(fmt.Sprint("w", n))
 			w.workers[fmt.Sprint("w", n)].info.Rack = []string{"small", "large", "large"}[n%3]
@@ -44,10 +43,10 @@
 	t.Run("runs on one rack", func(t *testing.T) {
 		is.New(t).Equal(racks(t), map[string]int{"large": 10})
 	})
-	t.Run("as a gang too", func(t *testing.T) {
+	t.Run("a gang runs on one rack", func(t *testing.T) {
 		is.New(t).Equal(racks(t, func(s *jayspec.Step) { s.Gang = true }), map[string]int{"large": 10})
 	})
-	t.Run("on several if one has no room for all", func(t *testing.T) {
+	t.Run("runs on several racks if no rack has room for all tasks", func(t *testing.T) {
 		on := racks(t, func(s *jayspec.Step) { s.Need.ProcessorsMilli = 1600 })
 		is.New(t).Equal(on["large"], 8)
 		is.New(t).True(on["small"] >= 1)
