--- a/jayfleet/balance.go
+++ b/jayfleet/balance.go
@@ -10,57 +10,64 @@
 )
 
 const (
-	// idleShare is for which share of the time of a move a host that is not needed
-	// must have been idle before it is moved to standby: a rush that begins meanwhile would
-	// wait for a move each way.
-	idleShare = 0.8
-	// followed is up to which time of a move hosts follow the rushes. With longer ones
-	// they come when a rush of some seconds is over, and a pool is served better by
-	// hosts that stayed: stayShare is by how many moves more they stay for each time
-	// that a move takes longer than that.
-	followed  = 1500 * time.Millisecond
-	stayShare = 1.6
-	// surplusBeforeStandby is the same for hosts beyond what the pool may need
-	// by chance, while many hosts are on standby: after a rush none of them is needed
-	// again. It is a little more than a worker waits between two tasks of one job.
-	surplusBeforeStandby = 200 * time.Millisecond
-	// standbyShare is the share of all hosts that are then off: what the next rush
-	// takes in its first second. With fewer, a host that goes to standby as the rush
-	// begins comes a move later than one that stayed.
-	standbyShare = 1.0 / 5
-	// newOwner is after a takeover until when no host goes to standby at once: after a
-	// loss of all entries the pools learn only then what has been submitted.
-	newOwner = 3 * time.Second
-	// soonEmptyShare is how soon, in moves, a busy host must become empty to be taken
-	// for a pool that needs it more, and reclaimShare how long it may take in fact.
-	soonEmptyShare = 0.55
-	reclaimShare   = 1.0
+	// idleMoves is how long an unneeded host must have been idle before it is moved to
+	// standby, as a multiple of the move time. A burst that begins earlier would otherwise
+	// wait for a move in each direction.
+	idleMoves = 0.8
+	// fastMoveTime is the longest move time with which hosts can follow bursts of load.
+	// Slower hosts arrive when a burst of a few seconds is over, so that a pool is served
+	// better by hosts that were kept.
+	fastMoveTime = 1500 * time.Millisecond
+	// extraIdleMoves is the additional idle time, as a multiple of the move time, for each
+	// further fastMoveTime that a move takes.
+	extraIdleMoves = 1.6
+	// surplusIdleTime is the required idle time of hosts beyond what the pool may need
+	// because of random variation, while many hosts are on standby: after a burst none of
+	// them is needed again. It is slightly longer than a worker waits between two tasks of
+	// one job.
+	surplusIdleTime = 200 * time.Millisecond
+	// minStandbyShare is the fraction of all hosts that must be on standby for
+	// surplusIdleTime to apply, enough for the first second of the next burst. With fewer,
+	// a host that is moved to standby as the burst begins arrives one move later than a
+	// host that was kept.
+	minStandbyShare = 1.0 / 5
+	// takeoverDelay is the time after a takeover during which surplusIdleTime does not
+	// apply: after a failure of all entries the pools take this long to learn which jobs
+	// have been submitted.
+	takeoverDelay = 3 * time.Second
+	// soonEmptyMoves is the maximum estimated time for a busy host to become empty for it
+	// to be given to a pool that needs it more, as a multiple of the move time.
+	soonEmptyMoves = 0.55
+	// reclaimDrainMoves is the time after which such a host that is still not empty stays
+	// in its pool, as a multiple of the move time.
+	reclaimDrainMoves = 1.0
 )
 
-// poolBalance is a pool and what it has and needs.
+// poolBalance compares the hosts of a pool with its demand.
 type poolBalance struct {
 	pool string
-	// have counts the hosts that serve it or soon will.
+	// have is the number of hosts that serve the pool or soon will.
 	have int
-	// need is how many it can use soon, keep how many it may need by chance. useful is how
-	// many of them jobs need that are still of use.
+	// need is the number of hosts that the pool can use soon, keep the number that it may
+	// need because of random variation. useful is the number needed for jobs whose results
+	// can still be used.
 	need   int
 	keep   int
 	useful int
-	// idle are its hosts that run nothing, the longest idle first; busy are
-	// others that could be emptied soon, the soonest first.
-	idle []*host
-	busy []*host
-	// later are other hosts that will be empty in some moves, the soonest first.
-	later []*host
+	// idle lists hosts that run nothing, the longest idle first. soonEmpty lists hosts
+	// that become empty within soonEmptyMoves, the earliest first.
+	idle      []*host
+	soonEmpty []*host
+	// laterEmpty lists other hosts that become empty within shareDrainMoves, the earliest
+	// first.
+	laterEmpty []*host
 }
 
-// balance moves hosts to the pools that lack some, and turns off those that
-// nobody needs.
+// balance moves hosts to the pools that lack some, and moves hosts that no pool needs to
+// standby.
 //
-// The load that it answers: the pools have their rushes by turns, each of some
-// seconds and several times the pool's own size, while the others are nearly
-// idle.
+// It is designed for pools with alternating bursts: each burst lasts some seconds and
+// needs several times the pool's normal size, while the other pools are nearly idle.
 func (f *Fleet) balance(now time.Duration) {
 	balances := f.balances(now)
 	free := f.free(now)
@@ -73,12 +80,13 @@
 	f.releaseIdle(balances, f.enoughStandby(len(free), now), now)
 }
 
-// enoughStandby reports whether so many hosts are on standby that others may follow at once.
+// enoughStandby reports whether enough hosts are on standby for surplus hosts to be moved
+// there after surplusIdleTime.
 func (f *Fleet) enoughStandby(off int, now time.Duration) bool {
-	return now-f.since > newOwner && float64(off) >= standbyShare*float64(len(f.hosts))
+	return now-f.decidingSince > takeoverDelay && float64(off) >= minStandbyShare*float64(len(f.hosts))
 }
 
-// free returns the hosts on standby and may be moved.
+// free returns the hosts on standby that may be moved.
 func (f *Fleet) free(now time.Duration) []*host {
 	var free []*host
 	for _, h := range f.sorted {
@@ -89,7 +97,8 @@
 	return free
 }
 
-// reclaimable returns a host that its pool can do without, an idle one first, or nil.
+// reclaimable returns a host that the pool does not need, preferring idle ones, and
+// whether it must be drained first. It returns nil if there is none.
 func (b *poolBalance) reclaimable() (h *host, drains bool) {
 	if b.have <= b.need {
 		return nil, false
@@ -97,13 +106,13 @@
 	if len(b.idle) > 0 {
 		return b.idle[0], false
 	}
-	if len(b.busy) > 0 {
-		return b.busy[0], true
+	if len(b.soonEmpty) > 0 {
+		return b.soonEmpty[0], true
 	}
 	return nil, false
 }
 
-// fill brings a pool up to the hosts that it needs.
+// fill assigns hosts to a pool until it has as many as it needs or none is available.
 func (f *Fleet) fill(to *poolBalance, free *[]*host, balances []*poolBalance, now time.Duration) {
 	for to.have < to.need {
 		if len(*free) > 0 {
@@ -118,8 +127,8 @@
 	}
 }
 
-// take vacates a host of another pool for one; it returns false if no pool can
-// do without one.
+// take vacates a host of another pool for the given one. It returns false if no pool has a
+// host to give.
 func (f *Fleet) take(to *poolBalance, balances []*poolBalance, now time.Duration) bool {
 	for _, from := range balances {
 		if from == to {
@@ -133,28 +142,28 @@
 		from.have--
 		to.have++
 		h.vacate(to.pool, drains, now)
-		h.drainTime = f.moves(reclaimShare)
+		h.drainTime = f.moves(reclaimDrainMoves)
 		return true
 	}
 	return false
 }
 
-// drop takes a host off the lists of those that could be given away.
+// drop removes a host from the lists of hosts that may be given away.
 func (b *poolBalance) drop(h *host) {
 	is := func(other *host) bool { return other == h }
 	b.idle = slices.DeleteFunc(b.idle, is)
-	b.busy = slices.DeleteFunc(b.busy, is)
-	b.later = slices.DeleteFunc(b.later, is)
+	b.soonEmpty = slices.DeleteFunc(b.soonEmpty, is)
+	b.laterEmpty = slices.DeleteFunc(b.laterEmpty, is)
 }
 
-// vacate asks the host's pool to empty it, so that nothing is started there
-// before it moves.
+// vacate asks the host's pool to empty it, so that no run is started there before it
+// moves.
 func (h *host) vacate(to string, drains bool, now time.Duration) {
 	h.vacating, h.moveTo, h.drains, h.vacatingSince = forMove, to, drains, now
 }
 
-// finishMoves moves the hosts that their pools have emptied. One that turned
-// out to be busy stays, unless it was known to be.
+// finishMoves moves the hosts that their pools have emptied. A host that is still busy
+// after its drain time, or that was expected to be idle but is not, stays in its pool.
 func (f *Fleet) finishMoves(now time.Duration) {
 	for _, h := range f.sorted {
 		if h.vacating != forMove || h.command != nil {
@@ -171,7 +180,7 @@
 	}
 }
 
-// releaseIdle moves hosts to standby that their pool does not need.
+// releaseIdle moves idle hosts that their pool does not need to standby.
 func (f *Fleet) releaseIdle(balances []*poolBalance, enoughStandby bool, now time.Duration) {
 	target := f.standbyPool()
 	if target == "" {
@@ -180,7 +189,7 @@
 	for _, b := range balances {
 		for _, h := range slices.Clone(b.idle) {
 			l, _ := f.load(h)
-			if b.have <= b.need || l.Idle < f.idleBefore(b, enoughStandby) {
+			if b.have <= b.need || l.Idle < f.minIdleTime(b, enoughStandby) {
 				break
 			}
 			b.drop(h)
@@ -190,17 +199,17 @@
 	}
 }
 
-// idleBefore is for how long a host must have been idle before it is moved to standby;
-// enoughStandby says that many are on standby already.
-func (f *Fleet) idleBefore(b *poolBalance, enoughStandby bool) time.Duration {
-	longer := max(0, f.settings.MoveTime.Seconds()/followed.Seconds()-1)
+// minIdleTime returns how long a host must have been idle before it is moved to standby.
+// enoughStandby reports whether many hosts are on standby already.
+func (f *Fleet) minIdleTime(b *poolBalance, enoughStandby bool) time.Duration {
+	longer := max(0, f.settings.MoveTime.Seconds()/fastMoveTime.Seconds()-1)
 	if enoughStandby && b.have > b.keep && longer == 0 {
-		return surplusBeforeStandby
+		return surplusIdleTime
 	}
-	return f.moves(idleShare + stayShare*longer)
+	return f.moves(idleMoves + extraIdleMoves*longer)
 }
 
-// moves is how long a share of a move takes.
+// moves returns the given multiple of the move time.
 func (f *Fleet) moves(share float64) time.Duration {
 	return time.Duration(share * float64(f.settings.MoveTime))
 }
@@ -215,13 +224,13 @@
 	return first
 }
 
-// balances returns the pools whose demand is known, the one that lacks most
-// first.
+// balances returns the balance of each pool with a current demand, the pool that lacks
+// most hosts first.
 func (f *Fleet) balances(now time.Duration) []*poolBalance {
 	var balances []*poolBalance
 	for pool := range f.working {
 		d, known := f.demands[pool]
-		if !known || now-d.At > freshDemand {
+		if !known || now-d.At > maxDemandAge {
 			continue
 		}
 		balances = append(balances, f.poolBalance(pool, d, now))
@@ -251,10 +260,10 @@
 		switch {
 		case l.Runs == 0:
 			b.idle = append(b.idle, h)
-		case l.EmptyIn >= 0 && l.EmptyIn <= f.moves(soonEmptyShare):
-			b.busy = append(b.busy, h)
-		case l.EmptyIn >= 0 && l.EmptyIn <= f.moves(drainShare):
-			b.later = append(b.later, h)
+		case l.EmptyIn >= 0 && l.EmptyIn <= f.moves(soonEmptyMoves):
+			b.soonEmpty = append(b.soonEmpty, h)
+		case l.EmptyIn >= 0 && l.EmptyIn <= f.moves(shareDrainMoves):
+			b.laterEmpty = append(b.laterEmpty, h)
 		}
 	}
 	b.sort(d)
@@ -268,8 +277,8 @@
 	return b
 }
 
-// sort orders the hosts that may be reclaimed: the longest idle first, and those first
-// that are empty soonest.
+// sort orders the hosts that may be given away: idle ones by longest idle time, others by
+// shortest time until they are empty.
 func (b *poolBalance) sort(d Demand) {
 	slices.SortStableFunc(b.idle, func(a, b *host) int {
 		return cmp.Compare(d.Loads[b.Worker].Idle, d.Loads[a.Worker].Idle)
@@ -277,15 +286,16 @@
 	emptySooner := func(a, b *host) int {
 		return cmp.Compare(d.Loads[a.Worker].EmptyIn, d.Loads[b.Worker].EmptyIn)
 	}
-	slices.SortStableFunc(b.later, emptySooner)
-	slices.SortStableFunc(b.busy, emptySooner)
+	slices.SortStableFunc(b.laterEmpty, emptySooner)
+	slices.SortStableFunc(b.soonEmpty, emptySooner)
 }
 
-// reserveHosts is how many hosts a pool has beyond its demand, for the first jobs
-// of a rush and for tasks that do not fit side by side.
+// reserveHosts is the number of hosts that a pool has beyond its demand, for the first
+// jobs of a burst and for tasks that do not fit side by side.
 const reserveHosts = 1
 
-// hostsFor is how many hosts of a size a demand takes, with the reserve.
+// hostsFor returns the number of hosts of the given size that a demand requires, including
+// the reserve.
 func hostsFor(milli, each int64) int {
 	if each == 0 {
 		return 0
@@ -293,9 +303,9 @@
 	return int((milli+each-1)/each) + reserveHosts
 }
 
-// serves reports whether a host serves a pool or soon will. One that is
-// emptied for maintenance does not, or a pool whose hosts are all emptied at
-// once would get no other in their place.
+// serves reports whether a host serves a pool or soon will. A host that is emptied for
+// maintenance does not count; otherwise a pool whose hosts are all emptied at once would
+// get no replacements.
 func (f *Fleet) serves(h *host, pool string) bool {
 	switch a := h.command.(type) {
 	case moving:
--- a/jayfleet/doc.go
+++ b/jayfleet/doc.go
@@ -1,5 +1,5 @@
-// Package jayfleet decides which instance serves which pool and when each is
-// maintained. It is the aggregate of all hosts, waves and pools' demands:
-// observations and the time come in, actions go out. It has no clock, no I/O
-// and no goroutine, and the same observations give the same actions.
+// Package jayfleet decides which instance serves which pool and when each instance is
+// maintained. It is the aggregate of all hosts, waves and demands of pools: it takes
+// observations and the current time, and returns actions. It has no clock, no I/O and no
+// goroutines, and is deterministic: the same observations give the same actions.
 package jayfleet
--- a/jayfleet/fleet.go
+++ b/jayfleet/fleet.go
@@ -8,43 +8,44 @@
 	"jaythread/jayport"
 )
 
-// Settings are the bounds of the fleet.
+// Settings configures a fleet.
 type Settings struct {
-	// MoveTime and MaintenanceTime are how long a host is away for them.
+	// MoveTime and MaintenanceTime are how long a host is unavailable during a move and
+	// during maintenance.
 	MoveTime        time.Duration
 	MaintenanceTime time.Duration
-	// HeldUntil is until when this owner keeps off hosts that the owners before
-	// it have just acted on, by the hosts' names.
+	// HeldUntil is the time until which this owner sends no commands to a host, by host
+	// name. It lists hosts that previous owners have recently sent commands to.
 	HeldUntil map[string]time.Duration
 }
 
-// Action is what the fleet's owner is to do: MoveHost, MaintainHost or
+// Action is a command for the fleet's owner to carry out: MoveHost, MaintainHost or
 // RecordWave.
 type Action interface {
 	isAction()
 }
 
-// MoveHost brings a host up in another pool.
+// MoveHost moves a host to another pool.
 type MoveHost struct {
 	Host string
 	Pool string
-	// From and Why are for the log.
+	// From is the host's current pool and Why the reason; both are only logged.
 	From string
 	Why  string
 }
 
-// MaintainHost maintains a host for a wave.
+// MaintainHost starts the maintenance of a host for a wave.
 type MaintainHost struct {
 	Host string
 	Wave string
 }
 
-// RecordWave records how far a wave is.
+// RecordWave stores the progress of a wave.
 type RecordWave struct {
 	Wave       string
 	Maintained []string
 	Done       bool
-	// DeclaredAt is since when the wave's time runs.
+	// DeclaredAt is when the wave was declared; its deadline counts from then.
 	DeclaredAt time.Duration
 }
 
@@ -52,69 +53,72 @@
 func (MaintainHost) isAction() {}
 func (RecordWave) isAction()   {}
 
-// Load is what the owner of a pool says of one worker.
+// Load is the state of one worker as reported by its pool's owner.
 type Load struct {
-	// CapacityMilli is what the worker offers at present, in thousandths of a core; nil
-	// is as much as the inventory says.
+	// CapacityMilli is the worker's current capacity in thousandths of a core; nil means
+	// the capacity in the inventory.
 	CapacityMilli *int64
 	UsedMilli     int64
 	Runs          int
 	LongRuns      int
 	Vacated       bool
 	Idle          time.Duration
-	// EmptyIn is how long the worker should take to become empty if its runs
-	// are migrated; negative is never.
+	// EmptyIn is the estimated time until the worker is empty if its runs are migrated; a
+	// negative value means never.
 	EmptyIn time.Duration
 }
 
-// Vacate is how a worker is to be emptied.
+// Vacate tells a pool how to empty a worker.
 type Vacate struct {
-	// Urgent lets all but long runs be stopped, Migrate those that can
-	// go on elsewhere.
+	// Urgent allows stopping all runs except long ones. Migrate allows stopping runs that
+	// can continue on another worker.
 	Urgent  bool
 	Migrate bool
 }
 
-// Demand is what the owner of a pool needs.
+// Demand is the capacity that a pool's owner requests.
 type Demand struct {
-	// NeedMilli is what the pool can use soon, SpareMilli what more it may need
-	// by chance, in thousandths of a core.
+	// NeedMilli is the capacity that the pool can use soon, and SpareMilli the additional
+	// capacity that it may need because of random variation, both in thousandths of a
+	// core.
 	NeedMilli  int64
 	SpareMilli int64
-	// ExpiredMilli is how much of NeedMilli is for jobs that are of no use to their callers any more.
+	// ExpiredMilli is the part of NeedMilli that is for jobs whose results their callers
+	// can no longer use.
 	ExpiredMilli int64
-	// HostsAtLeast is how many hosts it needs whatever their size.
+	// HostsAtLeast is the minimum number of hosts regardless of their size.
 	HostsAtLeast int
-	// Loads are by the workers' IDs.
+	// Loads holds the load of each worker by worker ID.
 	Loads map[string]Load
-	// At is when it was said.
+	// At is when the demand was reported.
 	At time.Duration
 }
 
-// Fleet is the aggregate. One goroutine uses it.
+// Fleet is the aggregate of all hosts, demands and waves. It is not safe for concurrent
+// use.
 type Fleet struct {
 	settings Settings
 	hosts    map[string]*host
 	sorted   []*host
-	// since is when this owner first decided.
-	since time.Duration
-	// listedAt is when the present list of hosts was asked for, complete says that
-	// each of its rows could be read.
+	// decidingSince is when this owner called Decide for the first time.
+	decidingSince time.Duration
+	// listedAt is when the current inventory was requested. complete reports whether all
+	// of its rows were readable.
 	listedAt time.Duration
 	complete bool
 	standby  map[string]bool
 	working  map[string]bool
 	demands  map[string]Demand
 	waves    map[string]*wave
-	// shortSince is since when pools have had less than their share.
+	// shortSince is the time since which a pool has had less than its share, by pool.
 	shortSince map[string]time.Duration
-	// short says that some pool has fewer hosts than it can use soon.
+	// short reports whether some pool has fewer hosts than it can use soon.
 	short   bool
 	actions []Action
 	notes   []Note
 }
 
-// Note is a change of what the fleet believes of a host.
+// Note is a change in the known state of a host.
 type Note struct {
 	Host   string
 	Pool   string
@@ -122,28 +126,28 @@
 	Worker string
 }
 
-// host is an instance and what is under way with it.
+// host is an instance together with the operation in progress on it.
 type host struct {
 	jayport.Host
 	command command
-	// commandSent is when the command was sent last, commandDone when it was accepted.
+	// commandSent is when the command was last sent, commandDone when it was accepted.
 	commandSent time.Duration
 	commandDone time.Duration
 	sending     bool
-	// vacating says that its pool is to empty it, and why.
+	// vacating is the reason why the host's pool is asked to empty it.
 	vacating purpose
 	urgent   bool
-	// moveTo is where a host goes that is vacated for a move.
+	// moveTo is the destination pool of a host that is vacated for a move.
 	moveTo string
-	// drains says that the pool may take a while to empty it.
+	// drains allows the pool some time to empty the host.
 	drains bool
-	// drainTime is how long.
+	// drainTime is the maximum time to empty the host if drains is set.
 	drainTime time.Duration
-	// vacatingSince is when its pool was first to be asked.
+	// vacatingSince is when the pool was first asked to empty the host.
 	vacatingSince time.Duration
 }
 
-// command is what was asked of the inventory.
+// command is an operation requested from the inventory.
 type command interface {
 	isCommand()
 }
@@ -159,7 +163,7 @@
 func (moving) isCommand()      {}
 func (maintaining) isCommand() {}
 
-// purpose is why a host is vacated.
+// purpose is the reason why a host is vacated.
 type purpose uint8
 
 const (
@@ -168,7 +172,6 @@
 	forWave
 )
 
-// New returns a fleet without hosts.
 func New(settings Settings) *Fleet {
 	return &Fleet{
 		settings: settings,
@@ -182,7 +185,8 @@
 	}
 }
 
-// SetPools names the pools that run tasks and those whose hosts are on standby.
+// SetPools sets the names of the pools that run tasks and of the pools whose hosts are on
+// standby.
 func (f *Fleet) SetPools(working, standby []string) {
 	clear(f.working)
 	clear(f.standby)
@@ -194,7 +198,7 @@
 	}
 }
 
-// Listed takes in the inventory, which was asked for at a time.
+// Listed applies an inventory listing that was requested at the given time.
 func (f *Fleet) Listed(list []jayport.Host, asked time.Duration) {
 	f.listedAt, f.complete = asked, jayport.Complete(list)
 	present := make(map[string]bool, len(list))
@@ -224,8 +228,8 @@
 	slices.SortFunc(f.sorted, func(a, b *host) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// settle ends a command that the list shows to be over: it was accepted before
-// the list was asked for, and the host is neither moving nor maintained.
+// settle clears a command that the listing shows to be complete: it was accepted before
+// the listing was requested, and the host is neither moving nor being maintained.
 func (h *host) settle(asked time.Duration) {
 	over := h.command != nil && h.commandDone > 0 && h.commandDone < asked &&
 		(h.State == jayport.HostUp || h.State == jayport.HostDown)
@@ -236,19 +240,19 @@
 	}
 }
 
-// Notes returns the notes since the last call.
+// Notes returns and clears the notes collected since the last call.
 func (f *Fleet) Notes() []Note {
 	notes := f.notes
 	f.notes = nil
 	return notes
 }
 
-// Demanded takes in what the owner of a pool needs.
+// Demanded stores the latest demand of a pool.
 func (f *Fleet) Demanded(pool string, d Demand) {
 	f.demands[pool] = d
 }
 
-// Answered takes in what came of a command.
+// Answered applies the inventory's answer to the command on a host.
 func (f *Fleet) Answered(name string, err error, now time.Duration) {
 	h, known := f.hosts[name]
 	if !known || h.command == nil {
@@ -260,18 +264,18 @@
 		h.commandDone = now
 		h.vacating = notVacating
 		if m, ok := h.command.(maintaining); ok {
-			f.noteMaintained(m.wave, name)
+			f.markMaintained(m.wave, name)
 		}
 	case refused:
 		h.command = nil
 		h.vacating = notVacating
 	case inDoubt:
-		// It may be carried out at any moment: the same command is asked for again
-		// until the answer is known.
+		// The command may still be carried out, so it is repeated until its outcome is
+		// known.
 	}
 }
 
-// Vacating returns the hosts' workers that each pool is to empty.
+// Vacating returns the workers that a pool is to empty, by worker ID.
 func (f *Fleet) Vacating(pool string) map[string]Vacate {
 	workers := map[string]Vacate{}
 	for _, h := range f.sorted {
@@ -282,8 +286,9 @@
 	return workers
 }
 
-// Existing returns the workers of a pool by the inventory and when it was asked;
-// known is false before it was read, and if not all of it could be.
+// Existing returns the workers of a pool according to the inventory, and when the
+// inventory was requested. known is false if it has not been read yet or has unreadable
+// rows.
 func (f *Fleet) Existing(pool string) (workers []string, asked time.Duration, known bool) {
 	for _, h := range f.sorted {
 		if h.Pool == pool && h.Worker != "" {
@@ -293,11 +298,11 @@
 	return workers, f.listedAt, f.listedAt > 0 && f.complete
 }
 
-// Decide returns what is to be done now.
+// Decide returns the actions to carry out now.
 func (f *Fleet) Decide(now time.Duration) []Action {
 	f.actions = nil
-	if f.since == 0 {
-		f.since = now
+	if f.decidingSince == 0 {
+		f.decidingSince = now
 	}
 	if f.listedAt > 0 {
 		f.resend(now)
@@ -308,13 +313,13 @@
 	return f.actions
 }
 
-// held reports whether a host must be left alone: two owners that act on one
-// host shortly after one another could undo what the other has begun.
+// held reports whether no command may be sent to a host because a previous owner has
+// recently sent one: the two commands could conflict.
 func (f *Fleet) held(h *host, now time.Duration) bool {
 	return now < f.settings.HeldUntil[h.Name]
 }
 
-// resendAfter is before a command without an answer is asked for again.
+// resendAfter is the delay before a command without an answer is repeated.
 const resendAfter = 300 * time.Millisecond
 
 func (f *Fleet) resend(now time.Duration) {
@@ -342,7 +347,7 @@
 	}
 }
 
-// load returns what the host's pool says of it.
+// load returns the load that the host's pool last reported for it.
 func (f *Fleet) load(h *host) (Load, bool) {
 	d, ok := f.demands[h.Pool]
 	if !ok {
@@ -352,7 +357,7 @@
 	return l, ok
 }
 
-// room is what a host offers at present, in thousandths of a core.
+// room returns the host's current capacity in thousandths of a core.
 func (f *Fleet) room(h *host) int64 {
 	if l, known := f.load(h); known && l.CapacityMilli != nil {
 		return *l.CapacityMilli
@@ -360,17 +365,18 @@
 	return h.Capacity.ProcessorsMilli
 }
 
-// empty reports whether a command on the host ends no run: it is on standby, or its pool
-// has emptied it and keeps it closed.
+// empty reports whether a command on the host would end no run: it is on standby, or its
+// pool has emptied it and starts no new runs on it.
 func (f *Fleet) empty(h *host, now time.Duration) bool {
 	if f.standby[h.Pool] {
 		return true
 	}
 	l, known := f.load(h)
-	fresh := now-f.demands[h.Pool].At < freshDemand
+	fresh := now-f.demands[h.Pool].At < maxDemandAge
 	return known && fresh && l.Vacated
 }
 
-// freshDemand is how old a pool's word may be that a host is empty. Its owner
-// keeps the host closed for two seconds after it was last asked to.
-const freshDemand = time.Second
+// maxDemandAge is the maximum age of a demand for the pool to be balanced or for one of
+// its hosts to be considered empty. The pool's owner starts no runs on a vacated host for
+// two seconds after the last request to vacate it, which is longer.
+const maxDemandAge = time.Second
--- a/jayfleet/fleet_test.go
+++ b/jayfleet/fleet_test.go
@@ -16,10 +16,10 @@
 		w := newWorld(t, map[string]int{"seats": 2, "fees": 1, "standby": 6})
 		w.wanted["seats"] = 5 * hostMilli
 		w.steps(3 * time.Second)
-		is.Equal(w.in("seats"), 6)
+		is.Equal(w.hostsUp("seats"), 6)
 		w.wanted["seats"] = 0
 		w.steps(5 * time.Second)
-		is.Equal(w.in("seats"), 1)
+		is.Equal(w.hostsUp("seats"), 1)
 	})
 	t.Run("from a pool that needs less", func(t *testing.T) {
 		is := is.New(t)
@@ -27,31 +27,29 @@
 		w.fleet.SetPools([]string{"fees", "seats"}, nil)
 		w.wanted["seats"] = 6 * hostMilli
 		w.steps(3 * time.Second)
-		is.Equal(w.in("seats"), 7)
-		is.Equal(w.in("fees"), 1)
+		is.Equal(w.hostsUp("seats"), 7)
+		is.Equal(w.hostsUp("fees"), 1)
 	})
 	t.Run("after a rush at once, but for what chance may need", func(t *testing.T) {
-		// Symptom: a third of the hosts that are paid for after a rush are idle.
-		// Sequence: the rush ends, hosts become empty one by one.
-		// Cause: each was kept for as long as one that may be needed again.
+		// Guards against idle hosts after a burst: a third of the hosts was idle because
+		// each host that became empty was kept as long as one that may be needed again.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 20, "standby": 20})
 		w.wanted["seats"], w.spare["seats"] = 5*hostMilli, 4*hostMilli
 		w.idle = 300 * time.Millisecond
 		w.steps(3 * time.Second)
-		is.Equal(w.in("seats"), 20) // a new owner waits
+		is.Equal(w.hostsUp("seats"), 20) // within the takeover delay
 		w.steps(3 * time.Second)
-		is.Equal(w.in("seats"), 10)
+		is.Equal(w.hostsUp("seats"), 10)
 		w.idle = 1300 * time.Millisecond
 		w.steps(3 * time.Second)
-		is.Equal(w.in("seats"), 6)
+		is.Equal(w.hostsUp("seats"), 6)
 	})
 	t.Run("not at once while few are on standby", func(t *testing.T) {
-		// Symptom: a rush gets its hosts three seconds after it has begun.
-		// Sequence: all entries come back; a pool has hosts left that it does not
-		// need, and they are moved to standby; a moment later another pool's rush begins.
-		// Cause: a host on its way to standby can be moved again only when it has
-		// arrived there.
+		// Guards against a burst that gets its hosts three seconds late: after a restart
+		// of all entries, a pool's unneeded hosts were moved to standby just before
+		// another pool's burst began, and a host can be moved again only after it has
+		// arrived on standby.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 20, "fees": 2, "standby": 5})
 		w.wanted["seats"], w.wanted["fees"] = 2*hostMilli, hostMilli
@@ -59,7 +57,7 @@
 		w.steps(500 * time.Millisecond)
 		w.wanted["fees"] = 20 * hostMilli
 		w.steps(2 * time.Second)
-		is.True(w.in("fees") >= 20)
+		is.True(w.hostsUp("fees") >= 20)
 	})
 	t.Run("busy hosts stay", func(t *testing.T) {
 		is := is.New(t)
@@ -69,13 +67,11 @@
 		}
 		w.wanted["seats"] = 9 * hostMilli
 		w.steps(3 * time.Second)
-		is.Equal(w.in("fees"), 3)
+		is.Equal(w.hostsUp("fees"), 3)
 	})
 	t.Run("what the former owner has just acted on is left alone", func(t *testing.T) {
-		// Symptom: two holders act on one instance in turns.
-		// Sequence: an owner moves an instance and is lost; the next one moves
-		// it again at once.
-		// Cause: it did not know of the command before.
+		// Guards against two owners acting on one instance in turns: the next owner did
+		// not know of the lost owner's command and moved the instance again immediately.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 1, "standby": 3})
 		w.fleet.settings.HeldUntil = map[string]time.Duration{"m1": w.now + time.Second, "m2": w.now + time.Second}
@@ -87,11 +83,9 @@
 		is.Equal(len(w.moves), 3)
 	})
 	t.Run("a command that was decided too long ago is decided anew", func(t *testing.T) {
-		// Symptom: a move ends tasks that were started a moment ago.
-		// Sequence: a move of an empty host is decided; the owner is paused; the
-		// host's pool opens the host again and starts tasks there; the owner wakes
-		// and sends the move.
-		// Cause: nobody looked how old the decision was.
+		// Guards against a move that ends newly started tasks: the owner is paused between
+		// the decision and the command, and meanwhile the pool reopens the host and starts
+		// tasks there.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 1, "standby": 2})
 		stale := true
@@ -103,16 +97,15 @@
 		}
 		w.wanted["seats"] = hostMilli
 		w.steps(300 * time.Millisecond)
-		is.Equal(w.in("seats"), 1)
-		is.Equal(w.in("standby"), 2)
+		is.Equal(w.hostsUp("seats"), 1)
+		is.Equal(w.hostsUp("standby"), 2)
 		stale = false
 		w.steps(2 * time.Second)
-		is.Equal(w.in("seats"), 2)
+		is.Equal(w.hostsUp("seats"), 2)
 	})
 	t.Run("a command without an answer is asked for again, not another one", func(t *testing.T) {
-		// Symptom: a pool gets twice the hosts that it wants.
-		// Sequence: the answer to a move is lost; another host is moved.
-		// Cause: the first move was taken for one that failed.
+		// Guards against a pool that gets twice the hosts that it needs: the answer to a
+		// move is lost, the move is taken for failed, and another host is moved.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 1, "fees": 1, "standby": 4})
 		lost := true
@@ -134,12 +127,11 @@
 	})
 }
 
-// Symptom: with moves of 4 s a third of the jobs of each rush are late.
-// Sequence: a rush of some seconds begins, hosts are called, and come as it ends; a few
-// seconds later they go off, and the next rush finds none again.
-// Cause: how long idle hosts stay on was right only for moves that are short against a
-// rush.
-func TestIdleHostsStayLongerWhereMovesAreSlow(t *testing.T) {
+// TestIdleHostsStayLongerWhenMovesAreSlow guards against late jobs where moves are slow:
+// with moves of 4 s, hosts arrived at the end of a burst of some seconds, went back to
+// standby shortly after, and were missing in the next burst, which delayed a third of its
+// jobs.
+func TestIdleHostsStayLongerWhenMovesAreSlow(t *testing.T) {
 	cases := []struct {
 		move time.Duration
 		want time.Duration
@@ -154,19 +146,19 @@
 			is := is.New(t)
 			f := New(Settings{MoveTime: c.move})
 			inUse, beyond := &poolBalance{have: 3, need: 1, keep: 3}, &poolBalance{have: 5, need: 1, keep: 3}
-			is.Equal(f.idleBefore(inUse, true), c.want)
-			is.Equal(f.idleBefore(beyond, false), c.want)
-			atOnce := f.idleBefore(beyond, true) == surplusBeforeStandby
-			is.Equal(atOnce, c.move <= followed)
+			is.Equal(f.minIdleTime(inUse, true), c.want)
+			is.Equal(f.minIdleTime(beyond, false), c.want)
+			atOnce := f.minIdleTime(beyond, true) == surplusIdleTime
+			is.Equal(atOnce, c.move <= fastMoveTime)
 		})
 	}
 }
 
-// Guards against a pool that is left with too few hosts since its workers offer less than
-// the inventory says.
-func TestHostsCountByWhatTheirWorkersOffer(t *testing.T) {
-	// room is what a pool has that needs three hosts, after its four have reported what they
-	// offer, in whole hosts.
+// TestDemandUsesReportedCapacity guards against a pool that has too few hosts because its
+// workers offer less than the inventory says.
+func TestDemandUsesReportedCapacity(t *testing.T) {
+	// room returns the capacity, in whole hosts, of a pool that needs three hosts, after
+	// its four hosts have reported the given capacity.
 	room := func(t *testing.T, offered int64) float64 {
 		t.Helper()
 		w := newWorld(t, map[string]int{"seats": 4, "standby": 16})
@@ -195,5 +187,5 @@
 	is.True(room(t, hostMilli/2) >= 3)
 	is.True(room(t, 1) >= 3)
 	is.True(room(t, 0) >= 3)
-	is.True(room(t, 2*hostMilli) <= 8) // no host more
+	is.True(room(t, 2*hostMilli) <= 8) // no additional host
 }
--- a/jayfleet/guard.go
+++ b/jayfleet/guard.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// recordTimeout is how long a command waits at most for its record where the
-	// inventory rejects an owner that was replaced. Without this bound hosts
-	// would stay where they are whenever the store is away.
+	// recordTimeout is how long a command waits for its record if the inventory rejects
+	// commands of a replaced owner. Without this limit no host could be moved or
+	// maintained while the store is unavailable.
 	recordTimeout = 150 * time.Millisecond
-	// staleCommand is how long ago a command may have been decided when it is sent. An
-	// entry that was paused in between would end what was started on the host
-	// meanwhile: its pool keeps an emptied host closed for two seconds.
-	staleCommand = time.Second
-	// clockSkew is by how much an entry's time of day may be off.
+	// maxCommandAge is the maximum time between the decision and the sending of a command.
+	// If the process was paused in between, the command could end runs that were started
+	// on the host in the meantime: the pool keeps a vacated host closed for only two
+	// seconds.
+	maxCommandAge = time.Second
+	// clockSkew is the maximum assumed error of an entry's wall clock.
 	clockSkew = 2500 * time.Millisecond
 )
 
-// RecordState is what is known of the record of a command when the command is to be
+// RecordState is the known state of a command's record when the command is about to be
 // sent.
 type RecordState uint8
 
@@ -23,99 +24,101 @@
 const (
 	// RecordPending means that the store has not answered yet.
 	RecordPending RecordState = iota
-	// Recorded means that the record stands in the store, so that no other owner
-	// had taken over until then.
+	// Recorded means that the record is stored, so that no other owner had taken over
+	// before it.
 	Recorded
-	// NotRecorded means that it never will, or that nobody knows.
+	// NotRecorded means that the record was rejected or that its outcome is unknown.
 	NotRecorded
 )
 
-// Guard decides which commands of an owner may be sent, and which hosts the next
-// owner keeps off.
+// Guard decides which commands of an owner may be sent, and for how long the next owner
+// must not send commands to a host.
 //
-// What goes wrong without it: an owner is cut off from the store and its peers
-// and replaced; it goes on acting, and its call reaches a host after one of the
-// next owner, with a lower fence. An inventory that checks fences refuses it. One
-// that does not moves the host away under the tasks that the next owner's pool
-// has started there. One notices it in the log by a host that two entries move
-// within a second.
+// It prevents commands of two owners from conflicting: an owner that is partitioned from
+// the store and its peers is replaced but continues to act, and its call reaches a host
+// after a call of the next owner, with a lower fence. An inventory that checks fences
+// rejects the call. One that does not moves the host while it runs tasks that the next
+// owner's pool has started there. The log then shows a host that two entries move within a
+// second.
 //
-// Why this prevents it: a command is recorded before it is sent, and sent at once.
-// The next owner fences the former one's records off before it reads them, so it
-// knows each command that may still be sent, and keeps off that host until it must
-// have come to its end.
+// A command is therefore recorded before it is sent, and sent immediately afterwards. The
+// next owner fences off the previous owner's records before it reads them, so that it
+// knows each command that may still be sent, and sends no command to that host until the
+// earlier one must have completed.
 type Guard struct {
-	// FencesChecked says that the inventory rejects an owner with a lower
-	// fence than the host has seen.
+	// FencesChecked reports whether the inventory rejects a fence lower than the highest
+	// one that it has seen for the host.
 	FencesChecked bool
-	// HolderTime is how long after one owner the next one may act on a host by the
-	// inventory's own rule.
+	// HolderTime is the inventory's minimum delay between commands of different owners on
+	// the same host.
 	HolderTime time.Duration
-	// CallTime is how long a call to the inventory may be under way.
+	// CallTime is the maximum duration of a call to the inventory.
 	CallTime time.Duration
 }
 
-// HoldTime is for how long after a command was decided the next owner keeps off its
-// host. Where fences are not checked, it covers a command that is sent at the last
-// moment.
+// HoldTime returns how long after a command was decided the next owner must not send
+// commands to the same host. If fences are not checked, it also covers a command that is
+// sent at the last permitted moment.
 func (g Guard) HoldTime() time.Duration {
 	if g.FencesChecked {
 		return g.HolderTime
 	}
-	return max(g.HolderTime, staleCommand+g.CallTime)
+	return max(g.HolderTime, maxCommandAge+g.CallTime)
 }
 
-// RecordTimeout is how long a command waits for its record.
+// RecordTimeout returns how long a command waits for its record.
 func (g Guard) RecordTimeout() time.Duration {
 	if g.FencesChecked {
 		return recordTimeout
 	}
-	return staleCommand
+	return maxCommandAge
 }
 
-// MayDecide reports whether commands are worth deciding while the record of an earlier
-// one has been waiting for its answer for a time. Commands that cannot be recorded are
-// never sent, and their hosts would be closed to their pools in vain.
+// MayDecide reports whether new commands may be decided while the record of an earlier
+// command has been pending for the given time. If records are required, commands that
+// cannot be recorded are never sent, and their hosts would be closed to their pools for
+// nothing.
 func (g Guard) MayDecide(stuck time.Duration) bool {
-	return g.FencesChecked || stuck < staleCommand
+	return g.FencesChecked || stuck < maxCommandAge
 }
 
-// MaySend reports whether a command may be sent that was decided some time ago, by
-// a clock that counts pauses.
+// MaySend reports whether a command of the given age may be sent. The age must include
+// time during which the process was paused.
 func (g Guard) MaySend(record RecordState, age time.Duration) bool {
-	if age > staleCommand {
+	if age > maxCommandAge {
 		return false
 	}
 	return g.FencesChecked || record == Recorded
 }
 
-// RecordedCommand is the newest command on a host that was recorded.
+// RecordedCommand is the latest recorded command on a host.
 type RecordedCommand struct {
-	// At is by the time of day of the entry that acted.
+	// At is the wall-clock time of the entry that sent the command.
 	At time.Time
-	// DecidedBy is when it was decided at the latest, by the clock of the new
-	// owner; ClockKnown says that this is known.
+	// DecidedBy is the latest time, by the new owner's clock, at which the command can
+	// have been decided. It is valid only if ClockKnown is set.
 	DecidedBy  time.Duration
 	ClockKnown bool
-	// ActorEnded says that the process of that entry has ended for certain.
+	// ActorEnded reports whether the process of the entry that sent the command has
+	// certainly ended.
 	ActorEnded bool
 }
 
-// Takeover is when an owner took over, by its clock and the time of day, and when
-// its entry was started.
+// Takeover is the time at which an owner took over, by its clock and by wall-clock time,
+// and the wall-clock time at which its entry was started.
 type Takeover struct {
 	Clock   time.Duration
 	Day     time.Time
 	Started time.Time
 }
 
-// HeldUntil returns until when a new owner must keep off a host, by its clock. A
-// time that is over holds nothing.
+// HeldUntil returns the time, by the new owner's clock, until which it must not send
+// commands to a host. A time in the past means that the host is not held.
 //
-// After a loss of all entries nothing is held, or no pool would get one of the
-// hundreds of hosts that were moved just before. Where fences are checked, that
-// a command is older than the own process shows it well enough; where they are not,
-// only that the actor has ended does.
+// After a failure of all entries no host is held; otherwise no pool would get one of the
+// hundreds of hosts that were moved just before. If fences are checked, a command older
+// than the new owner's process is sufficient evidence of such a failure; otherwise the
+// process of the previous owner must have certainly ended.
 func (g Guard) HeldUntil(command RecordedCommand, t Takeover) time.Duration {
 	switch {
 	case command.ActorEnded && !g.FencesChecked:
--- a/jayfleet/guard_test.go
+++ b/jayfleet/guard_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestGuardSends(t *testing.T) {
+func TestGuardMaySend(t *testing.T) {
 	checked, unchecked := Guard{FencesChecked: true}, Guard{}
 	sends := func(g Guard, record RecordState, age time.Duration, want bool) {
 		t.Run(fmt.Sprintf("checked %v record %d age %v", g.FencesChecked, record, age), func(t *testing.T) {
@@ -25,14 +25,14 @@
 	sends(unchecked, Recorded, 2*time.Second, false)
 }
 
-func TestGuardDecides(t *testing.T) {
+func TestGuardMayDecide(t *testing.T) {
 	is := is.New(t)
 	is.True(Guard{}.MayDecide(0))
 	is.True(!Guard{}.MayDecide(2 * time.Second))
 	is.True(Guard{FencesChecked: true}.MayDecide(time.Minute))
 }
 
-func TestGuardHolds(t *testing.T) {
+func TestGuardHeldUntil(t *testing.T) {
 	takeover := Takeover{Clock: time.Hour, Day: time.UnixMilli(1_000_000_000)}
 	heldFor := func(g Guard, command RecordedCommand, sinceCommand, sinceStart time.Duration) time.Duration {
 		g.HolderTime = 3 * time.Second
@@ -55,40 +55,32 @@
 		is.Equal(heldFor(unchecked, RecordedCommand{}, 9*time.Second, time.Minute), time.Duration(0))
 	})
 	t.Run("as long as needed where the actor's clock is known", func(t *testing.T) {
-		// Symptom: after a takeover two thirds of the fleet stay where they are for
-		// three seconds, in a rush.
-		// Sequence: hosts move from pool to pool every few seconds; their owner is
-		// cut off and replaced.
-		// Cause: times of day may be off by seconds, so that each host that was
-		// acted on in the last eight seconds was held from the takeover on.
+		// Guards against a takeover in a burst that blocks two thirds of the fleet for
+		// three seconds: wall clocks may differ by seconds, so that each host with a
+		// command in the last eight seconds was held from the takeover on.
 		command := RecordedCommand{DecidedBy: takeover.Clock - 2*time.Second, ClockKnown: true}
 		is.New(t).Equal(heldFor(unchecked, command, time.Minute, time.Minute), time.Second)
 	})
 	t.Run("where fences are checked, not what was acted on before this entry began", func(t *testing.T) {
-		// Symptom: after all entries lost power, a pool in its rush gets no
-		// host for three seconds.
-		// Sequence: an owner moves two hundred hosts; all entries are lost and
-		// come back a second later.
-		// Cause: the new owner kept off all hosts that were acted on in the
-		// last seconds, though their owner had ended with all others.
+		// Guards against a pool that gets no host for three seconds after a power failure
+		// of all entries: the new owner held all hosts that were moved just before,
+		// although the previous owner had ended with all other entries.
 		is.New(t).Equal(heldFor(checked, RecordedCommand{}, 2*time.Second, time.Second), time.Duration(0))
 	})
 	t.Run("where they are not, also that, unless its process has ended", func(t *testing.T) {
-		// Symptom: a host is moved by a lower fence after a higher one.
-		// Sequence: an owner is cut off and replaced by an entry that was started
-		// a second ago; both command to the host.
-		// Cause: a command before the own start was taken for one of an owner that
-		// had ended with all other entries.
+		// Guards against a move with a lower fence after one with a higher fence: a
+		// partitioned owner is replaced by an entry that was started a second ago, and a
+		// command older than the new process was taken for one of an owner that had ended.
 		is := is.New(t)
 		is.Equal(heldFor(unchecked, RecordedCommand{}, 2*time.Second, time.Second), 3*time.Second)
 		is.Equal(heldFor(unchecked, RecordedCommand{ActorEnded: true}, 2*time.Second, time.Second), time.Duration(0))
 	})
 }
 
-// tick is the grain of time of the model.
-const tick = 100 * time.Millisecond
+// timeStep is the time resolution of the model.
+const timeStep = 100 * time.Millisecond
 
-// upTo returns the times from zero to a longest one.
+// upTo returns the times from zero to longest in steps of grain.
 func upTo(longest, grain time.Duration) []time.Duration {
 	var times []time.Duration
 	for d := time.Duration(0); d <= longest; d += grain {
@@ -97,29 +89,29 @@
 	return times
 }
 
-// race is one interleaving of two owners that act on the same host. The first one
-// decides at time zero; the second one's claim takes effect at takeover.
-type race struct {
+// interleaving is one order of events of two owners that act on the same host. The first
+// owner decides at time zero; the second owner's claim takes effect at takeover.
+type interleaving struct {
 	guard Guard
-	// appended is when the first owner's record reaches the store, answered when
-	// the answer is taken in, after any pause, and looked when the command is about to
-	// be sent, after another one.
+	// appended is when the first owner's record reaches the store, answered when the owner
+	// processes the answer, and sentAt when the command is about to be sent; the owner may
+	// be paused before each of the last two.
 	appended time.Duration
 	answered time.Duration
-	looked   time.Duration
+	sentAt   time.Duration
 	takeover time.Duration
-	// late is how long the first owner's call is under way.
-	late time.Duration
-	// skew is how far the first owner's time of day is behind the second one's.
+	// callTime is the duration of the first owner's call.
+	callTime time.Duration
+	// skew is how far the first owner's wall clock is behind the second one's.
 	skew time.Duration
-	// sinceStart is how long before the takeover the second owner was started.
+	// sinceStart is the time between the start of the second owner and the takeover.
 	sinceStart time.Duration
-	// clockKnown says that the second owner knows the first one's clock.
+	// clockKnown reports whether the second owner knows the first one's clock.
 	clockKnown bool
 }
 
-// former is when the first owner's command is carried out, if it is.
-func (r race) former() (at time.Duration, carriedOut bool) {
+// firstCommand returns when the first owner's command is carried out, if it is.
+func (r interleaving) firstCommand() (at time.Duration, carriedOut bool) {
 	record := Recorded
 	switch {
 	case r.appended >= r.takeover:
@@ -127,15 +119,15 @@
 	case r.answered > r.guard.RecordTimeout():
 		record = RecordPending
 	}
-	if !r.guard.MaySend(record, r.looked) {
+	if !r.guard.MaySend(record, r.sentAt) {
 		return 0, false
 	}
-	return r.looked + r.late, true
+	return r.sentAt + r.callTime, true
 }
 
-// next is when the second owner's command on the same host is carried out at the
-// earliest.
-func (r race) next() time.Duration {
+// secondCommand returns the earliest time at which the second owner's command on the same
+// host is carried out.
+func (r interleaving) secondCommand() time.Duration {
 	if r.appended >= r.takeover {
 		return r.takeover
 	}
@@ -145,21 +137,21 @@
 	return max(r.takeover, r.guard.HeldUntil(command, at))
 }
 
-// races calls a function with every interleaving.
-func races(g Guard, look func(race)) {
-	const pause = 12 * tick
-	for _, appended := range upTo(pause, 2*tick) {
-		for _, answer := range upTo(pause, 2*tick) {
-			for _, wait := range upTo(pause, 2*tick) {
-				for _, takeover := range upTo(100*tick, 2*tick) {
-					for _, late := range []time.Duration{0, g.CallTime} {
+// forEachInterleaving calls visit with each interleaving.
+func forEachInterleaving(g Guard, visit func(interleaving)) {
+	const pause = 12 * timeStep
+	for _, appended := range upTo(pause, 2*timeStep) {
+		for _, answer := range upTo(pause, 2*timeStep) {
+			for _, wait := range upTo(pause, 2*timeStep) {
+				for _, takeover := range upTo(100*timeStep, 2*timeStep) {
+					for _, callTime := range []time.Duration{0, g.CallTime} {
 						for _, skew := range []time.Duration{-2 * clockSkew, 0, 2 * clockSkew} {
 							for _, sinceStart := range []time.Duration{0, time.Hour} {
 								answered := appended + answer
-								r := race{guard: g, appended: appended, answered: answered, looked: answered + wait, takeover: takeover, late: late, skew: skew, sinceStart: sinceStart}
-								look(r)
+								r := interleaving{guard: g, appended: appended, answered: answered, sentAt: answered + wait, takeover: takeover, callTime: callTime, skew: skew, sinceStart: sinceStart}
+								visit(r)
 								r.clockKnown = true
-								look(r)
+								visit(r)
 							}
 						}
 					}
@@ -169,28 +161,25 @@
 	}
 }
 
-func TestTwoOwnersDoNotCross(t *testing.T) {
-	// Symptom: an inventory that does not check fences carries out a command of an
-	// owner with a lower fence after one of the next owner's.
-	// Sequence: any order of: decide, record, answer, pause, send, arrive late at
-	// the first owner, and takeover and command at the second one, with times of day
-	// that differ by what both may be off.
-	// Cause: the first owner acted without knowing that it was still the owner, or
-	// the second one did not know of the command.
+func TestCommandsOfTwoOwnersStayInOrder(t *testing.T) {
+	// Guards against an inventory without fence checks that carries out a previous owner's
+	// command after one of the next owner's. The model covers all orders of decision,
+	// record, answer, pause, sending, delayed arrival and takeover, with wall clocks that
+	// differ by up to twice the assumed error.
 	g := Guard{HolderTime: 3 * time.Second, CallTime: 700 * time.Millisecond}
 	count, sent := 0, 0
-	races(g, func(r race) {
+	forEachInterleaving(g, func(r interleaving) {
 		count++
-		at, carriedOut := r.former()
+		at, carriedOut := r.firstCommand()
 		if !carriedOut {
 			return
 		}
 		sent++
-		if at >= r.next() {
-			t.Fatalf("the former owner's command arrives at %v, the next one's at %v: %+v", at, r.next(), r)
+		if at >= r.secondCommand() {
+			t.Fatalf("the first owner's command is carried out at %v, the second owner's at %v: %+v", at, r.secondCommand(), r)
 		}
 	})
 	is := is.New(t)
 	is.True(count > 100_000)
-	is.True(sent > count/100) // the model is not vacuous
+	is.True(sent > count/100) // the model must include commands that are sent
 }
--- a/jayfleet/outcome.go
+++ b/jayfleet/outcome.go
@@ -6,11 +6,10 @@
 	"jaythread/jayport"
 )
 
-// ErrStale is the answer to a command that was not sent, since it was decided too
-// long ago.
+// ErrStale reports that a command was not sent because it was decided too long ago.
 var ErrStale = errors.New("decided too long ago")
 
-// outcomeKind is what is known of a command after its answer.
+// outcomeKind is the known effect of a command.
 type outcomeKind uint8
 
 const (
@@ -19,9 +18,9 @@
 	inDoubt
 )
 
-// outcome tells a command's answer apart: a refusal has no effect, and without an
-// answer the command may be carried out later. A call that was rejected for its
-// rate was not made, and is made again.
+// outcome classifies the answer to a command. A refused command has no effect; a command
+// without an answer may still be carried out. A call rejected by a rate limit was not made
+// and is repeated.
 func outcome(err error) outcomeKind {
 	var hostError *jayport.HostError
 	switch {
--- a/jayfleet/share.go
+++ b/jayfleet/share.go
@@ -6,30 +6,32 @@
 )
 
 const (
-	// sharedAfter is for how many moves a pool must have lacked hosts before others give
-	// up some that they could use as well: most rushes are over by then.
-	sharedAfter = 3
-	// drainShare is how many moves a host may take to become empty that is shared.
-	drainShare = 2
-	// shortShare is the part of its share below which a pool lacks hosts.
+	// shareDelayMoves is how long a pool must have lacked hosts before other pools give up
+	// hosts that they could use themselves, as a multiple of the move time. Most bursts
+	// end sooner.
+	shareDelayMoves = 3
+	// shareDrainMoves is the maximum time for a host to become empty when it is given to
+	// another pool as its share, as a multiple of the move time.
+	shareDrainMoves = 2
+	// shortShare is the fraction of its share below which a pool lacks hosts.
 	shortShare = 0.5
-	// shareSlack is the part of its share by which a pool may differ from it.
-	shareSlack = 0.1
+	// shareTolerance is the fraction of its share by which a pool may deviate from it.
+	shareTolerance = 0.1
 )
 
-// share moves hosts from pools that have more than their share to those that have lacked
-// some for long.
+// share moves hosts from pools that have more than their share to pools that have lacked
+// hosts for a long time.
 //
-// The load that it answers: all pools together need more hosts than there are, for
-// longer than a rush. The pool whose rush came first has taken nearly all, and as it can
-// use them all the while, the others would be served by none until it is done.
+// It handles an overload of all pools together that outlasts a burst. The pool whose burst
+// came first has taken nearly all hosts and can use them all the time, so that without
+// sharing the other pools would get almost none until it is done.
 func (f *Fleet) share(balances []*poolBalance, now time.Duration) {
 	shares := f.shares(balances)
 	for n, to := range balances {
 		if !f.shortForLong(to, shares[n], now) {
 			continue
 		}
-		for float64(to.have) < (1-shareSlack)*float64(shares[n]) {
+		for float64(to.have) < (1-shareTolerance)*float64(shares[n]) {
 			if !f.takeShare(to, balances, shares, now) {
 				return
 			}
@@ -37,7 +39,8 @@
 	}
 }
 
-// shortForLong reports whether a pool has had less than its share for long.
+// shortForLong reports whether a pool has had less than shortShare of its share for at
+// least the share delay.
 func (f *Fleet) shortForLong(b *poolBalance, share int, now time.Duration) bool {
 	if float64(b.have) >= shortShare*float64(share) {
 		delete(f.shortSince, b.pool)
@@ -48,34 +51,34 @@
 		f.shortSince[b.pool] = now
 		return false
 	}
-	return now-since >= f.moves(sharedAfter)
+	return now-since >= f.moves(shareDelayMoves)
 }
 
-// takeShare has the pool that is the furthest above its share give up the host that is
-// the soonest empty.
+// takeShare vacates, for the given pool, the host that becomes empty first in the pool
+// that is furthest above its share. It returns false if no pool has a host to give.
 func (f *Fleet) takeShare(to *poolBalance, balances []*poolBalance, shares []int, now time.Duration) bool {
 	var from *poolBalance
 	most := 0.0
 	for n, b := range balances {
-		above := float64(b.have) - (1+shareSlack)*float64(shares[n])
-		if above > most && len(b.busy)+len(b.later) > 0 {
+		above := float64(b.have) - (1+shareTolerance)*float64(shares[n])
+		if above > most && len(b.soonEmpty)+len(b.laterEmpty) > 0 {
 			from, most = b, above
 		}
 	}
 	if from == nil {
 		return false
 	}
-	h := slices.Concat(from.busy, from.later)[0]
+	h := slices.Concat(from.soonEmpty, from.laterEmpty)[0]
 	from.drop(h)
 	from.have--
 	to.have++
 	h.vacate(to.pool, true, now)
-	h.drainTime = f.moves(drainShare)
+	h.drainTime = f.moves(shareDrainMoves)
 	return true
 }
 
-// shares returns how many hosts each pool should have at least: all the same, but none
-// more than it needs.
+// shares returns the minimum number of hosts for each pool: an equal share, but no more
+// than the pool needs.
 func (f *Fleet) shares(balances []*poolBalance) []int {
 	left := 0
 	for _, b := range balances {
--- a/jayfleet/share_test.go
+++ b/jayfleet/share_test.go
@@ -23,8 +23,8 @@
 	shares("none", nil, nil, []int{})
 }
 
-// scarce returns a fleet without hosts on standby, in which seats and fees need more
-// than all and all hosts are busy.
+// scarce returns a world without hosts on standby, in which seats and fees together need
+// more hosts than there are and all hosts are busy.
 func scarce(t *testing.T, seats, fees int) *world {
 	t.Helper()
 	w := newWorld(t, map[string]int{"seats": seats, "fees": fees})
@@ -36,21 +36,19 @@
 	return w
 }
 
-func TestPoolsShareHostsThatAreTooFew(t *testing.T) {
-	// Symptom: one queue is served as ever and the others hardly at all, for half a
-	// minute.
-	// Sequence: the first queue's rush takes nearly all hosts; more comes than these can
-	// do, and so it keeps them; the other queues have their rushes.
-	// Cause: a pool gave up only hosts that it could not use.
-	const wait = sharedAfter * 1500 * time.Millisecond
+func TestPoolsShareScarceHosts(t *testing.T) {
+	// Guards against pools that get almost no hosts for half a minute: the pool whose
+	// burst came first holds nearly all hosts and can use them all the time, and a pool
+	// gave up only hosts that it could not use.
+	const wait = shareDelayMoves * 1500 * time.Millisecond
 	t.Run("after a while", func(t *testing.T) {
 		is := is.New(t)
 		w := scarce(t, 20, 2)
 		w.steps(wait)
-		is.Equal(len(w.moves), 0) // most rushes are over by then
+		is.Equal(len(w.moves), 0) // most bursts end sooner
 		w.steps(6 * time.Second)
-		is.True(w.in("fees") >= 9)
-		is.True(w.in("seats") >= 10)
+		is.True(w.hostsUp("fees") >= 9)
+		is.True(w.hostsUp("seats") >= 10)
 	})
 	t.Run("not for jobs that are of no use any more", func(t *testing.T) {
 		w := scarce(t, 20, 2)
@@ -75,7 +73,7 @@
 		w.steps(wait + time.Second)
 		is.True(len(w.fleet.Vacating("seats")) > 0)
 		w.drainTime = time.Hour
-		w.steps(drainShare*1500*time.Millisecond + time.Second)
+		w.steps(shareDrainMoves*1500*time.Millisecond + time.Second)
 		is.Equal(len(w.fleet.Vacating("seats")), 0)
 		is.Equal(len(w.moves), 0)
 	})
--- a/jayfleet/state.go
+++ b/jayfleet/state.go
@@ -6,29 +6,31 @@
 	"jaythread/jayport"
 )
 
-// PoolState is what a pool has and needs at a moment, for the log.
+// PoolState is a snapshot of a pool's hosts and demand for logging.
 type PoolState struct {
 	Pool string
-	// Need is how many hosts it can use soon, Keep how many it may need by chance.
-	// Useful is how many it needs for jobs that are still of use.
+	// Need is the number of hosts that the pool can use soon, and Keep the number that it
+	// may need because of random variation. Useful is the number needed for jobs whose
+	// results can still be used.
 	Need   int
 	Keep   int
 	Useful int
-	// On counts the hosts that are up in it; Idle of them run nothing, LongRunning run
-	// only long-running tasks.
+	// On is the number of the pool's hosts that are up. Of these, Idle run nothing, and
+	// LongRunning run only long-running tasks.
 	On          int
 	Idle        int
 	LongRunning int
-	// Coming counts the hosts on their way to it, Leaving those that are emptied.
+	// Coming is the number of hosts being moved to the pool, and Leaving the number being
+	// emptied.
 	Coming  int
 	Leaving int
-	// UsedMilli of RoomMilli thousandths of a core are taken.
+	// UsedMilli is the used part of the capacity RoomMilli, in thousandths of a core.
 	UsedMilli int64
 	RoomMilli int64
 }
 
-// States returns the state of each working pool whose demand is known, and how many
-// hosts are on standby and could be used.
+// States returns the state of each working pool with a current demand, and the number of
+// usable hosts on standby.
 func (f *Fleet) States(now time.Duration) (pools []PoolState, off int) {
 	for _, b := range f.balances(now) {
 		state := PoolState{Pool: b.pool, Need: b.need, Keep: b.keep, Useful: b.useful}
@@ -40,7 +42,8 @@
 	return pools, len(f.free(now))
 }
 
-// count adds a host to the state of a pool.
+// count adds a host to the pool's totals if it belongs to the pool or is being moved to
+// it.
 func (s *PoolState) count(f *Fleet, h *host) {
 	if m, ok := h.command.(moving); ok && m.to == s.Pool {
 		s.Coming++
--- a/jayfleet/bounds_test.go
+++ b/jayfleet/thresholds_test.go
@@ -11,28 +11,27 @@
 	"jaythread/jayport"
 )
 
-// The tests of this file hold each time and share of a decision to what it is for, in
-// plain numbers: with the constant's own name a changed constant would change the test
-// as well.
+// The tests in this file check each time and fraction that controls a decision against a
+// literal value: a test that used the constant's name would follow a change of the
+// constant.
 
 const move = 1500 * time.Millisecond
 
-// holds checks that something is so up to a time and not any more just after it, or the
-// other way round.
-func holds(t *testing.T, name string, until time.Duration, so func(after time.Duration) bool) {
+// checkThreshold checks that the result of a predicate changes at a threshold: its results
+// shortly before and shortly after differ.
+func checkThreshold(t *testing.T, name string, until time.Duration, predicate func(after time.Duration) bool) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		t.Helper()
 		slack := until / 10
-		before, after := so(until-slack), so(until+slack)
+		before, after := predicate(until-slack), predicate(until+slack)
 		if before == after {
 			t.Errorf("%v at %v and at %v", before, until-slack, until+slack)
 		}
 	})
 }
 
-// listed returns a fleet with so many hosts in pool seats that run something, and some
-// that are on standby.
+// listed returns a fleet with the given numbers of hosts up in pool seats and on standby.
 func listed(on, off int) *Fleet {
 	f := New(Settings{MoveTime: move, MaintenanceTime: 2 * time.Second})
 	f.SetPools([]string{"fees", "seats"}, []string{"standby"})
@@ -48,34 +47,34 @@
 	return f
 }
 
-func TestBoundsOfIdleHosts(t *testing.T) {
-	idleBefore := func(keep int, enoughStandby bool, expected time.Duration) {
-		is.New(t).Equal(listed(9, 9).idleBefore(&poolBalance{have: 5, keep: keep}, enoughStandby), expected)
+func TestIdleHostThresholds(t *testing.T) {
+	minIdleTime := func(keep int, enoughStandby bool, expected time.Duration) {
+		is.New(t).Equal(listed(9, 9).minIdleTime(&poolBalance{have: 5, keep: keep}, enoughStandby), expected)
 	}
-	idleBefore(5, true, 1200*time.Millisecond) // 0.8 of a move
-	idleBefore(4, true, 200*time.Millisecond)  // beyond what chance may need
-	idleBefore(4, false, 1200*time.Millisecond)
+	minIdleTime(5, true, 1200*time.Millisecond) // 0.8 of the move time
+	minIdleTime(4, true, 200*time.Millisecond)  // beyond keep
+	minIdleTime(4, false, 1200*time.Millisecond)
 	t.Run("a fifth of all must be off", func(t *testing.T) {
 		is := is.New(t)
 		is.True(listed(79, 21).enoughStandby(21, time.Minute))
 		is.True(!listed(81, 19).enoughStandby(19, time.Minute))
 	})
-	holds(t, "for 3 s after a takeover none counts", 3*time.Second, func(after time.Duration) bool {
+	checkThreshold(t, "for 3 s after a takeover none counts", 3*time.Second, func(after time.Duration) bool {
 		f := listed(50, 50)
-		f.since = time.Minute
+		f.decidingSince = time.Minute
 		return f.enoughStandby(50, time.Minute+after)
 	})
-	holds(t, "a host that is empty within 0.825 s can be taken", 825*time.Millisecond, func(emptyIn time.Duration) bool {
+	checkThreshold(t, "a host that is empty within 0.825 s can be taken", 825*time.Millisecond, func(emptyIn time.Duration) bool {
 		f := listed(1, 0)
 		s := f.poolBalance("seats", Demand{Loads: map[string]Load{"w0": {Runs: 1, EmptyIn: emptyIn}}}, time.Minute)
-		return len(s.busy) == 1
+		return len(s.soonEmpty) == 1
 	})
-	holds(t, "within 3 s it can be shared", 3*time.Second, func(emptyIn time.Duration) bool {
+	checkThreshold(t, "within 3 s it can be shared", 3*time.Second, func(emptyIn time.Duration) bool {
 		f := listed(1, 0)
 		s := f.poolBalance("seats", Demand{Loads: map[string]Load{"w0": {Runs: 1, EmptyIn: emptyIn}}}, time.Minute)
-		return len(s.later) == 1
+		return len(s.laterEmpty) == 1
 	})
-	holds(t, "a pool's word counts for a second", time.Second, func(age time.Duration) bool {
+	checkThreshold(t, "a pool's word counts for a second", time.Second, func(age time.Duration) bool {
 		f := listed(1, 0)
 		f.Demanded("seats", Demand{At: time.Minute})
 		return len(f.balances(time.Minute+age)) == 1
@@ -88,14 +87,14 @@
 	})
 }
 
-func TestBoundsOfShares(t *testing.T) {
+func TestShareThresholds(t *testing.T) {
 	isShort := func(have int, after time.Duration) bool {
 		f := listed(1, 0)
 		b := &poolBalance{pool: "seats", have: have}
 		f.shortForLong(b, 20, time.Minute)
 		return f.shortForLong(b, 20, time.Minute+after)
 	}
-	holds(t, "a pool lacks hosts after 4.5 s", 4500*time.Millisecond, func(after time.Duration) bool {
+	checkThreshold(t, "a pool lacks hosts after 4.5 s", 4500*time.Millisecond, func(after time.Duration) bool {
 		return isShort(1, after)
 	})
 	t.Run("with less than half of its share", func(t *testing.T) {
@@ -107,23 +106,23 @@
 		is := is.New(t)
 		w := scarce(t, 40, 0)
 		w.steps(20 * time.Second)
-		is.Equal(w.in("fees"), 18)
-		is.Equal(w.in("seats"), 22)
+		is.Equal(w.hostsUp("fees"), 18)
+		is.Equal(w.hostsUp("seats"), 22)
 	})
 }
 
-func TestBoundsOfWaves(t *testing.T) {
+func TestWaveThresholds(t *testing.T) {
 	late := func(left int, remaining time.Duration) bool {
 		f := listed(1, 0)
 		return f.late(&wave{Wave: jayport.Wave{Within: time.Minute, MaxAtOnce: 4}}, left, time.Minute-remaining)
 	}
-	holds(t, "a wave is late with 1.5 rounds and 3 s left", 8250*time.Millisecond, func(remaining time.Duration) bool {
+	checkThreshold(t, "a wave is late with 1.5 rounds and 3 s left", 8250*time.Millisecond, func(remaining time.Duration) bool {
 		return late(4, remaining)
 	})
-	holds(t, "or three of them, for two rounds", 13500*time.Millisecond, func(remaining time.Duration) bool {
+	checkThreshold(t, "or three of them, for two rounds", 13500*time.Millisecond, func(remaining time.Duration) bool {
 		return late(8, remaining)
 	})
-	holds(t, "a wave keeps a pace that ends at 0.6 of its time", 36*time.Second, func(after time.Duration) bool {
+	checkThreshold(t, "a wave keeps a pace that ends at 0.6 of its time", 36*time.Second, func(after time.Duration) bool {
 		w := &wave{Wave: jayport.Wave{Within: time.Minute, MaxAtOnce: 400}}
 		return w.atOnce(4, 3500*time.Millisecond, after) < 400
 	})
@@ -145,7 +144,7 @@
 	t.Run("a round is 1.5 s longer than the maintenance", func(t *testing.T) {
 		is.New(t).Equal(listed(1, 0).roundTime(), 3500*time.Millisecond)
 	})
-	holds(t, "a command without an answer is repeated after 0.3 s", 300*time.Millisecond, func(after time.Duration) bool {
+	checkThreshold(t, "a command without an answer is repeated after 0.3 s", 300*time.Millisecond, func(after time.Duration) bool {
 		f := listed(0, 1)
 		f.begin(f.sorted[0], moving{to: "seats"}, "test", time.Minute)
 		f.sorted[0].sending = false
@@ -155,20 +154,20 @@
 	})
 }
 
-func TestBoundsOfGuards(t *testing.T) {
+func TestGuardThresholds(t *testing.T) {
 	checked := Guard{FencesChecked: true, HolderTime: 3 * time.Second, CallTime: 700 * time.Millisecond}
 	unchecked := Guard{HolderTime: time.Second, CallTime: 700 * time.Millisecond}
 	is := is.New(t)
 	is.Equal(checked.HoldTime(), 3*time.Second)
-	is.Equal(unchecked.HoldTime(), 1700*time.Millisecond) // sent at the last moment
+	is.Equal(unchecked.HoldTime(), 1700*time.Millisecond) // covers a command sent at the last permitted moment
 	is.Equal(checked.RecordTimeout(), 150*time.Millisecond)
 	is.Equal(unchecked.RecordTimeout(), time.Second)
-	holds(t, "a command that is older than a second is not sent", time.Second, func(age time.Duration) bool {
+	checkThreshold(t, "a command that is older than a second is not sent", time.Second, func(age time.Duration) bool {
 		return unchecked.MaySend(Recorded, age)
 	})
-	holds(t, "nothing is decided while a record waits for a second", time.Second, unchecked.MayDecide)
+	checkThreshold(t, "nothing is decided while a record waits for a second", time.Second, unchecked.MayDecide)
 	day := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	holds(t, "a command by an unknown clock holds its host for 8 s", 8*time.Second, func(age time.Duration) bool {
+	checkThreshold(t, "a command by an unknown clock holds its host for 8 s", 8*time.Second, func(age time.Duration) bool {
 		command := RecordedCommand{At: day.Add(-age)}
 		return checked.HeldUntil(command, Takeover{Clock: time.Hour, Day: day, Started: day.Add(-time.Hour)}) > 0
 	})
--- a/jayfleet/waves.go
+++ b/jayfleet/waves.go
@@ -9,20 +9,21 @@
 	"jaythread/jayport"
 )
 
-// wave is a maintenance wave and how far it is.
+// wave is a maintenance wave and its progress.
 type wave struct {
 	jayport.Wave
 	declaredAt time.Duration
 	maintained map[string]bool
 	done       bool
-	// recorded is what was last handed on for the record.
+	// recorded, recordedDone and announced describe the last RecordWave action of the
+	// wave.
 	recorded     int
 	recordedDone bool
 	announced    bool
 }
 
-// Declared takes in a wave with the hosts that a former owner has recorded as
-// maintained. A wave that is known stays.
+// Declared adds a wave with the hosts that a previous owner has recorded as maintained. It
+// ignores a wave that is already known.
 func (f *Fleet) Declared(w jayport.Wave, at time.Duration, maintained []string, done bool) {
 	if _, known := f.waves[w.Name]; known {
 		return
@@ -34,17 +35,17 @@
 	f.waves[w.Name] = one
 }
 
-func (f *Fleet) noteMaintained(name, host string) {
+func (f *Fleet) markMaintained(name, host string) {
 	if w, known := f.waves[name]; known {
 		w.maintained[host] = true
 	}
 }
 
-// runWaves begins maintenance where a host is empty and empties others.
+// runWaves starts maintenance on empty hosts and vacates others.
 //
-// The load that it answers: a pool's rush comes in the middle of a wave. The
-// wave keeps an even pace and takes nothing while a pool lacks hosts, as long as
-// it can still be in time; most hosts are on standby once in every turn of the rushes.
+// It is designed for a burst of a pool in the middle of a wave. A wave keeps an even pace
+// and takes no hosts while a pool lacks some, as long as it can still meet its deadline.
+// It can usually wait, because most hosts are on standby once in each cycle of the bursts.
 func (f *Fleet) runWaves(now time.Duration) {
 	for _, w := range f.sortedWaves() {
 		f.runWave(w, now)
@@ -71,7 +72,7 @@
 	for _, name := range w.Hosts {
 		h, present := f.hosts[name]
 		if !present {
-			// A host that is gone for good needs no maintenance.
+			// A host that was removed permanently needs no maintenance.
 			continue
 		}
 		if m, busy := h.command.(maintaining); busy && m.wave == w.Name || h.State == jayport.HostMaintained {
@@ -97,9 +98,9 @@
 	f.maintain(w, left, min(room, w.atOnce(len(left), f.roundTime(), now)-down), late, now)
 }
 
-// withLongRuns returns the hosts that can only be emptied slowly: they carry long
-// runs, or are being emptied already. A step can miss few of its tasks at once,
-// so that its hosts are emptied one after the other, and must be from the start.
+// withLongRuns returns the hosts that take long to empty: they have long runs or are being
+// emptied already. Few tasks of a step may be interrupted at once, so that its hosts are
+// emptied one after the other, which must begin at the start of the wave.
 func (f *Fleet) withLongRuns(hosts []*host) []*host {
 	var longRunHosts []*host
 	for _, h := range hosts {
@@ -110,8 +111,8 @@
 	return longRunHosts
 }
 
-// maintain begins maintenance of hosts that are empty and empties others, up to
-// a number, and returns how many it took.
+// maintain starts maintenance on empty hosts and vacates others, up to the given number,
+// and returns how many it has selected.
 func (f *Fleet) maintain(w *wave, hosts []*host, room int, late bool, now time.Duration) (taken int) {
 	for _, h := range hosts {
 		if taken >= room {
@@ -134,13 +135,13 @@
 	return taken
 }
 
-// paceShare is in which share of its time a wave is to be done if nothing comes
-// between; the rest is for outages and rushes.
+// paceShare is the fraction of a wave's time in which it is planned to complete; the rest
+// is reserved for outages and bursts.
 const paceShare = 0.6
 
-// atOnce is how many hosts of a wave should be away now, so that the rest is
-// done at an even pace. As many as the wave allows would take a fifth of a
-// fleet in its first seconds, also in those in which a pool's rush needs it.
+// atOnce returns the number of hosts that should be in maintenance now for an even pace.
+// Taking as many as the wave allows would remove a large part of the fleet in the first
+// seconds, even while a pool's burst needs it.
 func (w *wave) atOnce(left int, round time.Duration, now time.Duration) int {
 	until := w.declaredAt + time.Duration(paceShare*float64(w.Within))
 	if until <= now {
@@ -150,8 +151,8 @@
 	return min(w.MaxAtOnce, int(math.Ceil(pace)))
 }
 
-// order puts the hosts first whose maintenance costs least: those that are
-// off, then empty ones, then those with the fewest runs.
+// order sorts hosts by the cost of their maintenance: empty ones first, then those that
+// are being vacated, then by cost.
 func (f *Fleet) order(hosts []*host, now time.Duration) {
 	slices.SortStableFunc(hosts, func(a, b *host) int {
 		return cmp.Or(
@@ -162,7 +163,7 @@
 	})
 }
 
-// cost is what emptying a host takes away.
+// cost returns the estimated loss from emptying a host, in thousandths of a core.
 func (f *Fleet) cost(h *host) int64 {
 	l, known := f.load(h)
 	if !known {
@@ -171,26 +172,27 @@
 	return l.UsedMilli + int64(l.LongRuns)*longRunCost
 }
 
-// longRunCost makes a host with a long-running task as dear as one with four
-// busy cores more: the task is away while it starts elsewhere.
+// longRunCost is the cost of interrupting a long-running task in thousandths of a core:
+// the task is unavailable while it starts on another host.
 const longRunCost = 4000
 
-// mayVacate reports whether a host is to be emptied for a wave. One with short
-// runs alone becomes idle by itself before long, unless the wave is late; one
-// with a long run does not.
+// mayVacate reports whether a host may be emptied for a wave. A host with only short runs
+// becomes idle by itself soon and is emptied only if the wave is late; a host with a long
+// run does not become idle by itself.
 func (f *Fleet) mayVacate(h *host, late bool) bool {
 	l, known := f.load(h)
 	return known && f.working[h.Pool] && (late || l.Runs == 0 || l.LongRuns > 0)
 }
 
-// closedShare is the share of a pool's hosts that may be closed for waves at a time.
-const closedShare = 1.0 / 2
+// maxClosedShare is the maximum fraction of a pool's hosts that are closed for waves at a
+// time. One host may be closed in any pool.
+const maxClosedShare = 1.0 / 2
 
 // mayClose reports whether one more host of a pool may be closed for a wave.
 //
-// The load that it answers: a pool has few hosts, each with long-running tasks, and all
-// hosts are in use. What runs on the hosts that are closed can go nowhere, and the more
-// of them are closed, the less room there is.
+// It is designed for a pool with few hosts, each with long-running tasks, while all hosts
+// are in use. The tasks on closed hosts cannot move anywhere, and each further closed host
+// leaves less room for them.
 func (f *Fleet) mayClose(pool string) bool {
 	closed, all := 0, 0
 	for _, h := range f.sorted {
@@ -202,33 +204,33 @@
 			closed++
 		}
 	}
-	return closed == 0 || float64(closed+1) <= closedShare*float64(all)
+	return closed == 0 || float64(closed+1) <= maxClosedShare*float64(all)
 }
 
 const (
-	// lateFactor is how many times what a wave still takes at the pace that its
-	// bound allows must be left, or it is late.
+	// lateFactor is the multiple of the minimum remaining duration of a wave that must be
+	// left before its deadline; with less time the wave is late.
 	lateFactor = 1.5
-	// lateSlack is what must be left beyond that: most losses of an owner or of
-	// the inventory are over by then.
+	// lateSlack is the additional time that must be left: most outages of an owner or of
+	// the inventory are shorter.
 	lateSlack = 3 * time.Second
 )
 
-// late reports whether a wave must hurry: at the pace that its bound allows,
-// the rest takes most of the time that is left.
+// late reports whether a wave must hurry to meet its deadline, given the number of hosts
+// that are left and the number that may be maintained at once.
 func (f *Fleet) late(w *wave, left int, now time.Duration) bool {
 	rounds := math.Ceil(float64(left) / float64(max(1, w.MaxAtOnce)))
 	need := time.Duration(lateFactor * rounds * float64(f.roundTime()))
 	return w.declaredAt+w.Within-now < need+lateSlack
 }
 
-// roundTime is how long one host is away for a wave.
+// roundTime returns how long one host is unavailable for a wave.
 func (f *Fleet) roundTime() time.Duration {
 	return f.settings.MaintenanceTime + roundSlack
 }
 
-// roundSlack is what one round of maintenance takes beside the maintenance:
-// emptying the hosts and seeing them come back.
+// roundSlack is the duration of a maintenance round beyond the maintenance itself, for
+// emptying the hosts and detecting their return.
 const roundSlack = 1500 * time.Millisecond
 
 func (f *Fleet) recordWave(w *wave) {
@@ -245,7 +247,6 @@
 	f.actions = append(f.actions, RecordWave{Wave: w.Name, Maintained: names, Done: w.done, DeclaredAt: w.declaredAt})
 }
 
-// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/jayfleet/waves_test.go
+++ b/jayfleet/waves_test.go
@@ -21,7 +21,7 @@
 		w.steps(25 * time.Second)
 		is.True(w.fleet.waves["1"].done)
 		is.Equal(len(w.fleet.waves["1"].maintained), 12)
-		is.True(w.down <= 3)
+		is.True(w.maxDown <= 3)
 	})
 	t.Run("what a former owner recorded is not done again", func(t *testing.T) {
 		is := is.New(t)
@@ -47,9 +47,9 @@
 		is.New(t).True(w.fleet.waves["1"].done)
 	})
 	t.Run("hosts that are emptied are replaced", func(t *testing.T) {
-		// Symptom: a long-running task finds no place for half a minute.
-		// Sequence: all hosts of a pool are emptied for a wave at once.
-		// Cause: a host that is being emptied counted as serving.
+		// Guards against a long-running task without a host for half a minute: all hosts
+		// of a pool were emptied for a wave at once, because a host that is being emptied
+		// counted as serving.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 2, "standby": 3})
 		w.wanted["seats"] = hostMilli
@@ -59,14 +59,13 @@
 		}
 		w.fleet.Declared(wave(w.names[:2], 30*time.Second, 9), w.now, nil, false)
 		w.steps(3 * time.Second)
-		is.True(w.in("seats") > 2)
+		is.True(w.hostsUp("seats") > 2)
 	})
 	t.Run("hosts that are emptied are replaced for tasks that may not share one", func(t *testing.T) {
-		// Symptom: a long-running task and has failed waits for ten seconds, in a pool that
-		// is nearly idle.
-		// Sequence: a step runs one task on each host; a wave closes half of them, which
-		// cannot be emptied, since no host is open on which the step runs no task yet.
-		// Cause: hosts were counted by the cores that are needed, a third of them.
+		// Guards against a failed long-running task that waits ten seconds in a nearly
+		// idle pool: a step runs one task per host, a wave closes half of the hosts, and
+		// no open host is without a task of the step. The required hosts were computed
+		// from the required cores only, which a third of the hosts provide.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 12, "standby": 12})
 		for _, name := range w.names[:12] {
@@ -77,13 +76,12 @@
 		w.steps(4 * time.Second)
 		closed := len(w.fleet.Vacating("seats"))
 		is.True(closed > 0)
-		is.True(w.in("seats")-closed >= 12)
+		is.True(w.hostsUp("seats")-closed >= 12)
 	})
 	t.Run("a wave leaves hosts to a rush", func(t *testing.T) {
-		// Symptom: jobs wait in a rush while a fifth of the fleet is maintained.
-		// Sequence: a wave is declared; a pool's rush begins a moment later.
-		// Cause: the wave took at once as many hosts as it was allowed to, hosts
-		// that were off before the rush could get them, and busy ones in it.
+		// Guards against a wave that delays jobs in a burst: it took the maximum number of
+		// hosts immediately, a fifth of the fleet, first the hosts on standby that the
+		// burst needed and then busy ones.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 4, "standby": 16})
 		for _, name := range w.names[:4] {
@@ -94,17 +92,16 @@
 		w.steps(200 * time.Millisecond)
 		w.wanted["seats"] = 14 * hostMilli
 		w.steps(1800 * time.Millisecond)
-		is.True(w.in("seats") >= 13)
+		is.True(w.hostsUp("seats") >= 13)
 		is.Equal(len(w.fleet.Vacating("seats")), 0)
 		w.wanted["seats"] = 3 * hostMilli
 		w.steps(22 * time.Second)
 		is.Equal(len(w.fleet.waves["1"].maintained), 16)
 	})
 	t.Run("half of a pool stays open while nothing can be emptied", func(t *testing.T) {
-		// Symptom: a pool serves with two of its seven hosts for half a minute.
-		// Sequence: all hosts of all pools are in use; a wave closes five of the pool's,
-		// and the long-running tasks there find no room elsewhere.
-		// Cause: a wave closed as many hosts of a pool as it was to maintain.
+		// Guards against a pool with two of its seven hosts open for half a minute: all
+		// hosts of all pools are in use, a wave closed five hosts of the pool, and their
+		// long-running tasks have no other host to move to.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 7})
 		for _, name := range w.names {
@@ -118,11 +115,10 @@
 		is.Equal(len(w.fleet.Vacating("seats")), 7) // the wave is late
 	})
 	t.Run("hosts with long runs are emptied from the start", func(t *testing.T) {
-		// Symptom: the last hosts of a wave are maintained after its time.
-		// Sequence: hosts on standby are maintained first and take all of the
-		// wave's pace; then all hosts with long runs are emptied together.
-		// Cause: a step can miss few of its tasks at once, so that its hosts are
-		// emptied one after the other, however many are to be emptied.
+		// Guards against a wave that misses its deadline: hosts on standby were maintained
+		// first and used up the wave's pace, then all hosts with long runs were emptied
+		// together. Few tasks of a step may be interrupted at once, so that its hosts are
+		// emptied one after the other.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 9, "standby": 120})
 		for _, name := range w.names[:9] {
--- a/jayfleet/world_test.go
+++ b/jayfleet/world_test.go
@@ -12,7 +12,7 @@
 
 const hostMilli = 10_000
 
-// world is an inventory and the pools' owners, as the fleet sees them.
+// world simulates an inventory and the pools' owners.
 type world struct {
 	t      *testing.T
 	fleet  *Fleet
@@ -21,35 +21,37 @@
 	names  []string
 	wanted map[string]int64
 	spare  map[string]int64
-	// atLeast is how many hosts a pool needs whatever their size.
+	// atLeast is the minimum number of hosts of a pool regardless of their size.
 	atLeast map[string]int
-	// idle is for how long hosts without runs are said to be idle.
+	// idle is the reported idle time of hosts without runs.
 	idle time.Duration
-	// runs counts the runs on each worker, longRuns long-running ones.
+	// runs is the number of runs on each worker, longRuns the number of long-running ones.
 	runs     map[string]int
 	longRuns map[string]int
-	// offered is what workers offer that offer more or less than the inventory says.
+	// offered is the capacity of workers whose capacity differs from the inventory.
 	offered map[string]*int64
-	// expired is how much of what a pool wants is of no use any more.
+	// expired is the part of a pool's demand that is for jobs whose results can no longer
+	// be used.
 	expired map[string]int64
-	// drainTime is how long the runs of a busy host should still take, and take once it
-	// is closed; negative is for ever. closedAt is since when hosts are closed.
+	// drainTime is how long the runs of a busy host are expected to take, and do take once
+	// the host is closed; a negative value means forever. closedAt is when hosts were
+	// closed.
 	drainTime time.Duration
 	closedAt  map[string]time.Duration
-	// back is when a host is up again, and in which pool.
-	back map[string]comeback
-	// evictEvery is how often a closed host loses its long runs; zero is
-	// never. evictedAt is when one did last.
+	// returns holds when and in which pool an unavailable host is up again.
+	returns map[string]hostReturn
+	// evictEvery is the interval at which a closed host loses its long runs; zero means
+	// never. evictedAt is the time of the last eviction.
 	evictEvery time.Duration
 	evictedAt  time.Duration
-	// answer is what the inventory answers to a command.
+	// answer returns the inventory's answer to a command.
 	answer func(Action) error
 	moves  []MoveHost
-	// down is the largest number of hosts that were maintained at once.
-	down int
+	// maxDown is the largest number of hosts that were maintained at once.
+	maxDown int
 }
 
-type comeback struct {
+type hostReturn struct {
 	at   time.Duration
 	pool string
 }
@@ -57,7 +59,7 @@
 func newWorld(t *testing.T, pools map[string]int) *world {
 	w := &world{
 		t: t, now: time.Minute, hosts: map[string]*jayport.Host{}, wanted: map[string]int64{}, spare: map[string]int64{}, atLeast: map[string]int{}, idle: 10 * time.Second, runs: map[string]int{},
-		longRuns: map[string]int{}, offered: map[string]*int64{}, expired: map[string]int64{}, drainTime: -1, closedAt: map[string]time.Duration{}, back: map[string]comeback{}, answer: func(Action) error { return nil },
+		longRuns: map[string]int{}, offered: map[string]*int64{}, expired: map[string]int64{}, drainTime: -1, closedAt: map[string]time.Duration{}, returns: map[string]hostReturn{}, answer: func(Action) error { return nil },
 	}
 	w.fleet = New(Settings{MoveTime: 1500 * time.Millisecond, MaintenanceTime: 2 * time.Second})
 	w.fleet.SetPools([]string{"fees", "seats"}, []string{"standby"})
@@ -74,19 +76,19 @@
 	return w
 }
 
-// step lets 100 ms pass: hosts come back, the list and the demands are taken
-// in, and what the fleet decides is carried out.
+// step advances the time by 100 ms: hosts return, the fleet takes in the inventory and the
+// demands, and its actions are carried out.
 func (w *world) step() {
 	w.now += 100 * time.Millisecond
 	maintained := 0
-	for name, b := range w.back {
+	for name, b := range w.returns {
 		if h := w.hosts[name]; h != nil && w.now >= b.at {
 			h.State, h.Pool = jayport.HostUp, b.pool
 			h.Worker = fmt.Sprint("w-", name, w.now)
 			if b.pool == "standby" {
 				h.Worker = ""
 			}
-			delete(w.back, name)
+			delete(w.returns, name)
 		}
 	}
 	for _, h := range w.hosts {
@@ -94,7 +96,7 @@
 			maintained++
 		}
 	}
-	w.down = max(w.down, maintained)
+	w.maxDown = max(w.maxDown, maintained)
 	var list []jayport.Host
 	for _, name := range w.names {
 		if w.hosts[name] != nil {
@@ -103,14 +105,14 @@
 	}
 	w.fleet.Listed(list, w.now)
 	w.evict()
-	w.tellDemands()
+	w.reportDemands()
 	for _, a := range w.fleet.Decide(w.now) {
 		w.perform(a)
 	}
 }
 
-// evict moves the long runs off one closed host, at most every so often: a
-// step can miss few of its tasks at once.
+// evict removes the long runs from one closed host, at most once per evictEvery, since few
+// tasks of a step may be interrupted at once.
 func (w *world) evict() {
 	if w.evictEvery == 0 || w.now-w.evictedAt < w.evictEvery {
 		return
@@ -126,9 +128,9 @@
 	}
 }
 
-// tellDemands answers for the pools' owners: an emptied worker is vacated as
-// soon as nothing runs there.
-func (w *world) tellDemands() {
+// reportDemands reports the demand of each pool. A worker that is being emptied is vacated
+// as soon as it runs nothing.
+func (w *world) reportDemands() {
 	for _, pool := range []string{"fees", "seats"} {
 		d := Demand{NeedMilli: w.wanted[pool], SpareMilli: w.spare[pool], ExpiredMilli: w.expired[pool], HostsAtLeast: w.atLeast[pool], Loads: map[string]Load{}, At: w.now}
 		vacating := w.fleet.Vacating(pool)
@@ -148,7 +150,7 @@
 	}
 }
 
-// drain ends the runs of a worker that has been closed for as long as they take.
+// drain ends the runs of a worker after it has been closed for drainTime.
 func (w *world) drain(worker string, closed bool) {
 	since, known := w.closedAt[worker]
 	switch {
@@ -183,10 +185,10 @@
 func (w *world) leave(name string, state jayport.HostState, pool string, away time.Duration) {
 	h := w.hosts[name]
 	if w.runs[h.Worker] > 0 {
-		w.t.Errorf("%s was acted on while it runs something", name)
+		w.t.Errorf("%s received a command while it has runs", name)
 	}
 	h.State = state
-	w.back[name] = comeback{at: w.now + away, pool: pool}
+	w.returns[name] = hostReturn{at: w.now + away, pool: pool}
 }
 
 func (w *world) steps(d time.Duration) {
@@ -195,7 +197,7 @@
 	}
 }
 
-func (w *world) in(pool string) int {
+func (w *world) hostsUp(pool string) int {
 	count := 0
 	for _, h := range w.hosts {
 		if h.Pool == pool && h.State == jayport.HostUp {
