--- a/jayplan/instances.go
+++ b/jayplan/instances.go
@@ -10,7 +10,7 @@
 	"jaythread/jaywire"
 )
 
-// attach gives listed workers that belong to no pool their pool.
+// attach assigns listed workers without a pool to a pool.
 func (r *round) attach() {
 	for _, id := range slices.Sorted(maps.Keys(r.in.Workers)) {
 		worker := r.in.Workers[id]
@@ -18,7 +18,7 @@
 		if ok && known.Phase != jaypool.Detached {
 			continue
 		}
-		pool, reason := r.home(id)
+		pool, reason := r.homePool(id)
 		base := uint64(0)
 		if ok {
 			base = known.Version
@@ -42,7 +42,7 @@
 	}
 }
 
-func (r *round) home(id string) (pool, reason string) {
+func (r *round) homePool(id string) (pool, reason string) {
 	pool, ok := r.config.PoolOf(id)
 	if !ok {
 		return "", ""
@@ -50,8 +50,8 @@
 	return pool, "pool " + pool + " matches"
 }
 
-// health reports instances that the list shows down, and those that have been
-// back for the settle time.
+// health reports instances that are down on the instance list, and failed instances that
+// have been back for SettleTime.
 func (r *round) health() {
 	for _, id := range r.in.State.Fleet.IDs() {
 		i, _ := r.in.State.Fleet.Instance(id)
@@ -78,17 +78,17 @@
 	})
 }
 
-// undrain gives work back to an instance that was drained for a move and has
-// arrived. An instance that the platform itself takes away has no fence of
-// ours, or one whose undrain was done already, and stays leaving.
+// undrain returns an instance to service after its move to another pool. An instance that
+// the platform itself takes away stays leaving: it has no fence, or its undrain was
+// already carried out.
 func (r *round) undrain(i *jaypool.Instance, worker jayplatform.Instance) {
 	if i.Phase == jaypool.Serving && i.Fence > 0 && worker.State == jayplatform.Leaving {
 		r.order(i.ID, i.Fence, jayplatform.Undrain{})
 	}
 }
 
-// moves carries on the moves between pools: drain, detach, and attach by the
-// next round.
+// moves advances the moves between pools: it drains the instances and then detaches them.
+// The next round attaches them to the new pool.
 func (r *round) moves() {
 	for _, id := range r.in.State.Fleet.IDs() {
 		i, _ := r.in.State.Fleet.Instance(id)
@@ -96,7 +96,7 @@
 			continue
 		}
 		r.order(id, i.Fence, jayplatform.Drain{})
-		if r.quiet(id, i.Fence) {
+		if r.drained(id, i.Fence) {
 			r.propose("drained", i.Version, &jaywire.Command{
 				Body: &jaywire.Command_DetachInstance{DetachInstance: &jaywire.DetachInstance{Instance: id}},
 			})
@@ -104,9 +104,9 @@
 	}
 }
 
-// quiet reports whether a draining instance has nothing left: each entry that
-// may route has folded the drain, no request is in flight and no task placed.
-func (r *round) quiet(id string, fence uint64) bool {
+// drained reports whether a draining instance has no work left: all entries that may route
+// have applied the drain, no request is in flight and no task is placed.
+func (r *round) drained(id string, fence uint64) bool {
 	worker, listed := r.in.Workers[id]
 	if !listed || r.in.Acked <= fence || r.busy[id] {
 		return false
@@ -117,23 +117,23 @@
 	return worker.State == jayplatform.Leaving && worker.InFlight == 0
 }
 
-// lend moves an instance into a pool whose reserve is used up, where a rule
-// lets another pool lend, and back when it is not needed any more.
+// lend moves an instance into a pool whose reserve is used up if a rule allows another
+// pool to lend one, and returns lent instances that are no longer needed.
 func (r *round) lend() {
 	for n := range r.config.Pools {
 		needy := r.config.Pools[n].Name
-		if r.standing(needy).Slack() >= 0 || r.arriving(needy) {
+		if r.standing(needy).Slack() >= 0 || r.receivesInstance(needy) {
 			continue
 		}
 		if donor, rule := r.donor(needy); donor != nil {
 			r.move(donor, needy, true, "rule "+rule)
 		}
 	}
-	r.giveBack()
+	r.returnLoans()
 }
 
-// arriving reports whether an instance is on its way into the pool already.
-func (r *round) arriving(pool string) bool {
+// receivesInstance reports whether an instance is already being moved to the pool.
+func (r *round) receivesInstance(pool string) bool {
 	for _, id := range r.in.State.Fleet.IDs() {
 		i, _ := r.in.State.Fleet.Instance(id)
 		onTheWay := i.Phase == jaypool.Leaving || i.Phase == jaypool.Detached
@@ -144,7 +144,8 @@
 	return false
 }
 
-// donor returns an instance of the pool that has most to spare.
+// donor returns an instance of the pool with the most slack among those that may lend, and
+// the name of the rule.
 func (r *round) donor(needy string) (*jaypool.Instance, string) {
 	var best *jaypool.Instance
 	var bestRule string
@@ -167,7 +168,7 @@
 	return best, bestRule
 }
 
-func (r *round) giveBack() {
+func (r *round) returnLoans() {
 	for _, id := range r.in.State.Fleet.IDs() {
 		i, _ := r.in.State.Fleet.Instance(id)
 		if !i.Available() || i.Pool == i.Home || r.busy[id] {
--- a/jayplan/plan.go
+++ b/jayplan/plan.go
@@ -1,6 +1,6 @@
-// Package jayplan decides what the planner does next: which commands it
-// proposes and which orders it gives the platform. It is pure but for its
-// Memory, which holds only when this planner first saw something.
+// Package jayplan computes the planner's decisions: the commands that it proposes and the
+// orders that it gives to the platform. It has no I/O and no clock. The only state kept
+// between rounds is in Planner, which records when it first observed something.
 package jayplan
 
 import (
@@ -15,68 +15,71 @@
 	"jaythread/jaywire"
 )
 
-// Settings are the planner's times.
+// Settings configures the planner's timeouts.
 type Settings struct {
-	// RebootTimeout ends the wait for an instance that does not come back.
+	// RebootTimeout is how long a step of a wave waits for its instance to become idle, to
+	// reboot or to settle.
 	RebootTimeout time.Duration
-	// SettleTime is how long an instance is back before it counts as
-	// available, and how long it must be well before a failure ends.
+	// SettleTime is how long an instance must be back before it counts as available, and
+	// how long it must be healthy before a failure ends.
 	SettleTime time.Duration
-	// TaskLease is after how long on a silent worker a task has ended.
+	// TaskLease is the time after which a task on an unavailable worker has certainly
+	// ended.
 	TaskLease time.Duration
 }
 
-// Input is what a round is based on.
+// Input is the observed state that a round is based on.
 type Input struct {
 	State *jaystate.State
-	// Workers is the instance list.
+	// Workers is the instance list by instance ID.
 	Workers map[string]jayplatform.Instance
 	Now     time.Time
-	// Acked is the lowest offset that every entry which may still route has
-	// folded: an instance whose drain is below it gets no new work.
+	// Acked is the lowest offset that all entries that may still route have applied. An
+	// instance whose drain has a lower offset gets no new work.
 	Acked uint64
 }
 
-// Order is an order to the platform, with its fence.
+// Order is an order to the platform for one instance.
 type Order struct {
 	Instance string
 	Fence    uint64
 	Order    jayplatform.Order
 }
 
-// Output is what a round decided, in order.
+// Output holds the decisions of a round, in order.
 type Output struct {
 	Commands []*jaywire.Command
 	Orders   []Order
 }
 
-// Planner makes rounds.
+// Planner computes rounds of decisions.
 type Planner struct {
-	settings Settings
-	memory   map[string]sighting
-	calm     map[string]time.Time
+	settings     Settings
+	observations map[string]observation
+	healthySince map[string]time.Time
 }
 
-// sighting is when the planner first saw something in its present form.
-type sighting struct {
-	form uint64
-	at   time.Time
-	// asked is when an order was last given.
-	asked time.Time
-	used  bool
+// observation records when the planner first saw something at its current version.
+type observation struct {
+	version uint64
+	at      time.Time
+	// orderedAt is when the order was last given.
+	orderedAt time.Time
+	inUse     bool
 }
 
-// askAgain is after how long an order is given again. Its effect shows on
-// the instance list only after the list's lag; asking each round would send the
-// platform thousands of repeats in a large wave.
-const askAgain = 2 * time.Second
+// orderRepeatDelay is the minimum time before an order is repeated. The effect of an order
+// appears on the instance list only after the list's lag; repeating it in each round would
+// send the platform thousands of duplicates in a large wave.
+const orderRepeatDelay = 2 * time.Second
 
-// NewPlanner returns a planner that has seen nothing.
+// NewPlanner returns a planner without observations.
 func NewPlanner(settings Settings) *Planner {
-	return &Planner{settings: settings, memory: map[string]sighting{}, calm: map[string]time.Time{}}
+	return &Planner{settings: settings, observations: map[string]observation{}, healthySince: map[string]time.Time{}}
 }
 
-// Round returns what to do now.
+// Round returns the decisions for the given input. It returns none before a configuration
+// is published.
 func (p *Planner) Round(in Input) Output {
 	config := in.State.Configuration()
 	if config == nil {
@@ -92,31 +95,31 @@
 	r.lend()
 	r.waves()
 	r.tasks()
-	p.forget()
+	p.prune()
 	return r.out
 }
 
-// since returns when the planner first saw the named thing in this form.
-func (p *Planner) since(name string, form uint64, now time.Time) time.Time {
-	s, ok := p.memory[name]
-	if !ok || s.form != form {
-		s = sighting{form: form, at: now}
+// firstSeen returns when the planner first saw the named item at the given version.
+func (p *Planner) firstSeen(name string, version uint64, now time.Time) time.Time {
+	s, ok := p.observations[name]
+	if !ok || s.version != version {
+		s = observation{version: version, at: now}
 	}
-	s.used = true
-	p.memory[name] = s
+	s.inUse = true
+	p.observations[name] = s
 	return s.at
 }
 
-// forget drops what the last round did not look at, so that the memory stays
-// as small as the fleet's open business.
-func (p *Planner) forget() {
-	for name, s := range p.memory {
-		if !s.used {
-			delete(p.memory, name)
+// prune removes the observations that the last round did not use, which limits their
+// number to that of the open operations.
+func (p *Planner) prune() {
+	for name, s := range p.observations {
+		if !s.inUse {
+			delete(p.observations, name)
 			continue
 		}
-		s.used = false
-		p.memory[name] = s
+		s.inUse = false
+		p.observations[name] = s
 	}
 }
 
@@ -124,7 +127,7 @@
 	planner *Planner
 	in      Input
 	config  *jayconfig.Configuration
-	// busy are the instances with a placed task.
+	// busy holds the instances with a placed task.
 	busy map[string]bool
 	out  Output
 }
@@ -135,25 +138,27 @@
 	r.out.Commands = append(r.out.Commands, c)
 }
 
-// order gives the platform an order, at once and then now and again.
+// order gives the platform an order, and repeats it every orderRepeatDelay while it is
+// still needed.
 func (r *round) order(instance string, fence uint64, order jayplatform.Order) {
 	name := fmt.Sprintf("order %s %T %v", instance, order, order)
-	r.planner.since(name, fence, r.in.Now)
-	s := r.planner.memory[name]
-	if !s.asked.IsZero() && r.in.Now.Sub(s.asked) < askAgain {
+	r.planner.firstSeen(name, fence, r.in.Now)
+	s := r.planner.observations[name]
+	if !s.orderedAt.IsZero() && r.in.Now.Sub(s.orderedAt) < orderRepeatDelay {
 		return
 	}
-	s.asked = r.in.Now
-	r.planner.memory[name] = s
+	s.orderedAt = r.in.Now
+	r.planner.observations[name] = s
 	r.out.Orders = append(r.out.Orders, Order{Instance: instance, Fence: fence, Order: order})
 }
 
-// due reports whether something seen since then is older than d.
-func (r *round) due(name string, form uint64, d time.Duration) bool {
-	return r.in.Now.Sub(r.planner.since(name, form, r.in.Now)) >= d
+// due reports whether the named item has been at the given version for at least d.
+func (r *round) due(name string, version uint64, d time.Duration) bool {
+	return r.in.Now.Sub(r.planner.firstSeen(name, version, r.in.Now)) >= d
 }
 
-// decide asks the fleet's rules about a pool.
+// decide evaluates the configured rules for a pool and returns the action and the name of
+// the matching rule.
 func (r *round) decide(kind jayrule.Kind, pool, team string) (jayrule.Action, string) {
 	return r.config.Decide(&jayrule.Subject{
 		Kind:      kind,
@@ -172,8 +177,7 @@
 	return PoolState(r.standing(pool))
 }
 
-// PoolState returns the word that rules use for a standing: holds, tight or
-// broken.
+// PoolState returns the name that rules use for a standing: holds, tight or broken.
 func PoolState(s jaypool.Standing) string {
 	switch {
 	case !s.Holds():
--- a/jayplan/planner_test.go
+++ b/jayplan/planner_test.go
@@ -15,8 +15,9 @@
 	"jaythread/jaywire"
 )
 
-// bigState returns a state of workers in 34 pools with a running wave.
-func bigState(b *testing.B, workers int) (*jaystate.State, map[string]jayplatform.Instance) {
+// largeState returns a state with the given number of workers in 34 pools and a running
+// wave.
+func largeState(b *testing.B, workers int) (*jaystate.State, map[string]jayplatform.Instance) {
 	b.Helper()
 	const pools = 34
 	s := jaystate.New()
@@ -60,12 +61,11 @@
 	return s, list
 }
 
-// BenchmarkCapacityRound is the time of a whole round of the planner in a
-// wave, by fleet size.
+// BenchmarkCapacityRound measures a whole planner round during a wave, by fleet size.
 func BenchmarkCapacityRound(b *testing.B) {
 	for _, workers := range []int{50, 500, 5600} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			s, list := bigState(b, workers)
+			s, list := largeState(b, workers)
 			p := jayplan.NewPlanner(settings)
 			for b.Loop() {
 				p.Round(jayplan.Input{State: s, Workers: list, Now: sessionStart, Acked: s.Offset})
@@ -74,16 +74,14 @@
 	}
 }
 
-// TestQuarantine is the way from failing tasks to a worker out of service.
+// TestQuarantine checks that a worker on which tasks of several jobs fail is quarantined.
 func TestQuarantine(t *testing.T) {
-	// Symptom: good jobs are parked one after another.
-	// Sequence: a worker fails every task; each job that passes there counts
-	// a failure.
-	// Cause: failures were blamed on the jobs alone.
+	// Guards against jobs being parked because of a worker on which every task fails:
+	// failures were attributed to the jobs only.
 	s := newSession(t)
 	s.useProfile("mesob")
 	s.config.Rules = append(jayrule.List{}, s.config.Rules...)
-	s.bad["fees-01"] = true
+	s.failingWorkers["fees-01"] = true
 	for n := range 4 {
 		s.config.Jobs = append(s.config.Jobs, jayconfig.Job{
 			Name: fmt.Sprint("job", n), Pool: "fees", Team: "platform", Replicas: 10, Processors: 1, MemoryGigabytes: 1,
@@ -95,10 +93,10 @@
 	}
 	i, _ := s.state.Fleet.Instance("fees-01")
 	if !i.Quarantined {
-		t.Error("the worker on which four jobs failed still serves")
+		t.Error("the worker on which four jobs failed is not quarantined")
 	}
 	if len(s.state.Parked) > 0 {
-		t.Errorf("jobs are parked for it: %v", s.state.Parked)
+		t.Errorf("jobs are parked because of the failing worker: %v", s.state.Parked)
 	}
 	for key, task := range s.state.Tasks {
 		if task.Instance == "" || task.Instance == "fees-01" {
@@ -107,9 +105,9 @@
 	}
 }
 
-// TestTaskThatIsNotListed guards against a task that runs on two workers when the list
-// shows nothing of its start for longer than its lease.
-func TestTaskThatIsNotListed(t *testing.T) {
+// TestUnlistedTaskRunsOnce guards against a task that runs on two workers because the
+// instance list does not show its start for longer than its lease.
+func TestUnlistedTaskRunsOnce(t *testing.T) {
 	s := newSession(t)
 	s.useProfile("mesob")
 	for range 5 {
@@ -133,12 +131,13 @@
 	}
 }
 
-// TestInstanceThatNeverReturns does not hold up the wave.
-func TestInstanceThatNeverReturns(t *testing.T) {
+// TestInstanceNotBackAfterReboot checks that a wave completes if an instance does not come
+// back from its reboot.
+func TestInstanceNotBackAfterReboot(t *testing.T) {
 	s := newSession(t)
 	s.useProfile("mesob")
 	s.neverBack["seats-05"] = true
-	s.do("wave", []string{"w"})
+	s.execute("wave", []string{"w"})
 	for s.now < 20*time.Minute {
 		s.step()
 	}
@@ -148,22 +147,20 @@
 	}
 	i, _ := s.state.Fleet.Instance("seats-05")
 	if !i.Failed {
-		t.Error("the instance that never came back counts as well")
+		t.Error("the instance that did not come back is not marked as failed")
 	}
 }
 
-// TestInstanceThatDoesNotBecomeIdle goes back into service.
-func TestInstanceThatDoesNotBecomeIdle(t *testing.T) {
-	// Symptom: a wave hangs, and an instance is out of service for hours.
-	// Sequence: an instance drains; the instance list goes on showing a
-	// request in flight.
-	// Cause: a drain without a bound.
+// TestDrainTimeout checks that an instance that does not become idle returns to service.
+func TestDrainTimeout(t *testing.T) {
+	// Guards against a wave that hangs with an instance out of service for hours: the
+	// instance list keeps showing a request in flight, and the drain had no timeout.
 	s := newSession(t)
 	s.useProfile("mesob")
 	w := s.workers["seats-05"]
 	w.InFlight = 1
 	s.workers["seats-05"] = w
-	s.do("wave", []string{"w", "seats"})
+	s.execute("wave", []string{"w", "seats"})
 	for s.now < 10*time.Minute {
 		s.step()
 	}
--- a/jayplan/session_platform_test.go
+++ b/jayplan/session_platform_test.go
@@ -8,11 +8,11 @@
 	"jaythread/jayplatform"
 )
 
-// The fake platform of a session: it does what the planner's orders say, a
-// second at a time.
+// This file implements the fake platform of a session. It carries out the planner's orders
+// in steps of one second.
 
-// step lets a second pass: the platform moves, the planner makes a round, and
-// the promises are checked.
+// step advances the time by one second: the platform changes, the planner computes a
+// round, and the invariants are checked.
 func (s *session) step() {
 	s.now += tick
 	s.boot()
@@ -30,11 +30,11 @@
 	for _, order := range out.Orders {
 		s.order(order)
 	}
-	s.report()
+	s.printDecisions()
 	s.check()
 }
 
-// listed returns the instance list as the planner sees it.
+// listed returns the instance list that the planner gets.
 func (s *session) listed() map[string]jayplatform.Instance {
 	if !s.tasksUnlisted {
 		return s.workers
@@ -96,14 +96,14 @@
 func (s *session) started(o jayplan.Order, order jayplatform.StartTask) jayplatform.TaskReport {
 	report := jayplatform.TaskReport{
 		Job: order.Job, Replica: order.Replica, Fence: o.Fence, State: jayplatform.TaskRunning,
-		MemoryMegabytes: s.memory[order.Job], ProcessorsMilli: 1000,
+		MemoryMegabytes: s.memoryUse[order.Job], ProcessorsMilli: 1000,
 	}
-	if s.bad[o.Instance] {
+	if s.failingWorkers[o.Instance] {
 		report.State = jayplatform.TaskFailed
 	}
 	name := fmt.Sprintf("%s/%d", order.Job, order.Replica)
 	if report.State == jayplatform.TaskRunning {
-		s.moves[name]++
+		s.taskStarts[name]++
 	}
 	return report
 }
--- a/jayplan/session_test.go
+++ b/jayplan/session_test.go
@@ -25,20 +25,20 @@
 	"jaythread/jaywire"
 )
 
-// A session is a script of timed events in, a transcript of decisions out. It
-// drives the planner and the fold on a clock of its own over a fake platform
-// that does what it is told. A line of a script is
+// A session runs a script of timed events and prints a transcript of the decisions. It
+// drives the planner and the state on a simulated clock over a fake platform that carries
+// out all orders. Each line of a script has the form
 //
-//	MM:SS VERB ARGUMENTS
+// MM:SS VERB ARGUMENTS
 //
-// with the verbs of (*session).do. The promises are checked each second.
+// with the verbs of (*session).execute. The invariants are checked every second.
 
 const (
 	tick     = time.Second
 	bootTime = 20 * time.Second
 )
 
-// sessionStart is a Wednesday, 20:00 in Addis Ababa.
+// sessionStart is a Wednesday at 20:00 in Addis Ababa.
 var sessionStart = time.Date(2026, 12, 2, 17, 0, 0, 0, time.UTC)
 
 var settings = jayplan.Settings{
@@ -47,7 +47,7 @@
 	TaskLease:     10 * time.Second,
 }
 
-// session is a script that runs.
+// session is the execution of one script.
 type session struct {
 	t       *testing.T
 	profile jaydemo.Profile
@@ -61,15 +61,15 @@
 
 	logDown  bool
 	mayBreak bool
-	// tasksUnlisted keeps what the workers report of tasks from the planner.
-	tasksUnlisted bool
-	bad           map[string]bool
-	neverBack     map[string]bool
-	backAt        map[string]time.Duration
-	memory        map[string]int64
-	running       map[string]string
-	moves         map[string]int
-	breaches      int
+	// tasksUnlisted hides the workers' task reports from the planner.
+	tasksUnlisted  bool
+	failingWorkers map[string]bool
+	neverBack      map[string]bool
+	backAt         map[string]time.Duration
+	memoryUse      map[string]int64
+	running        map[string]string
+	taskStarts     map[string]int
+	breaches       int
 }
 
 func TestSessions(t *testing.T) {
@@ -94,16 +94,16 @@
 
 func newSession(t *testing.T) *session {
 	return &session{
-		t:         t,
-		state:     jaystate.New(),
-		planner:   jayplan.NewPlanner(settings),
-		workers:   map[string]jayplatform.Instance{},
-		bad:       map[string]bool{},
-		neverBack: map[string]bool{},
-		backAt:    map[string]time.Duration{},
-		memory:    map[string]int64{},
-		running:   map[string]string{},
-		moves:     map[string]int{},
+		t:              t,
+		state:          jaystate.New(),
+		planner:        jayplan.NewPlanner(settings),
+		workers:        map[string]jayplatform.Instance{},
+		failingWorkers: map[string]bool{},
+		neverBack:      map[string]bool{},
+		backAt:         map[string]time.Duration{},
+		memoryUse:      map[string]int64{},
+		running:        map[string]string{},
+		taskStarts:     map[string]int{},
 	}
 }
 
@@ -114,23 +114,23 @@
 		if len(words) == 0 {
 			continue
 		}
-		at := s.clock(words[0])
+		at := s.parseTime(words[0])
 		for s.now < at {
 			s.step()
 		}
 		s.printf("> %s", strings.Join(words[1:], " "))
-		s.do(words[1], words[2:])
-		s.report()
+		s.execute(words[1], words[2:])
+		s.printDecisions()
 	}
 	s.summary()
 }
 
-func (s *session) clock(text string) time.Duration {
+func (s *session) parseTime(text string) time.Duration {
 	minutes, seconds, ok := strings.Cut(text, ":")
 	m, err1 := strconv.Atoi(minutes)
 	sec, err2 := strconv.Atoi(seconds)
 	if !ok || err1 != nil || err2 != nil {
-		s.t.Fatalf("%q is not MM:SS", text)
+		s.t.Fatalf("%q is not a time in the form MM:SS", text)
 	}
 	return time.Duration(m)*time.Minute + time.Duration(sec)*time.Second
 }
@@ -140,8 +140,8 @@
 	fmt.Fprintf(&s.out, format+"\n", args...)
 }
 
-// do carries out one event of the script.
-func (s *session) do(verb string, args []string) {
+// execute carries out one event of the script.
+func (s *session) execute(verb string, args []string) {
 	switch verb {
 	case "profile":
 		s.useProfile(args[0])
@@ -161,11 +161,11 @@
 	case "setWave":
 		s.setWave(args[0], args[1], args[2:])
 	case "kill":
-		s.each(args[0], func(w *jayplatform.Instance) { w.State = jayplatform.Down; w.Tasks = nil })
+		s.changeWorkers(args[0], func(w *jayplatform.Instance) { w.State = jayplatform.Down; w.Tasks = nil })
 	case "revive":
-		s.each(args[0], func(w *jayplatform.Instance) { w.State = jayplatform.Live; w.Boots++ })
+		s.changeWorkers(args[0], func(w *jayplatform.Instance) { w.State = jayplatform.Live; w.Boots++ })
 	case "gone":
-		s.each(args[0], func(w *jayplatform.Instance) { w.State = jayplatform.Gone; w.Tasks = nil })
+		s.changeWorkers(args[0], func(w *jayplatform.Instance) { w.State = jayplatform.Gone; w.Tasks = nil })
 	case "add":
 		s.workers[args[0]] = jayplatform.Instance{
 			ID: args[0], Kind: jayplatform.Worker, DataCenter: args[1], Rack: args[2], State: jayplatform.Live,
@@ -176,12 +176,12 @@
 	case "planner":
 		s.planner = jayplan.NewPlanner(settings)
 	case "failsStarts":
-		s.bad[args[0]] = true
+		s.failingWorkers[args[0]] = true
 	case "neverBack":
 		s.neverBack[args[0]] = true
 	case "uses":
 		megabytes, _ := strconv.ParseInt(args[1], 10, 64)
-		s.memory[args[0]] = megabytes
+		s.memoryUse[args[0]] = megabytes
 	case "move":
 		i, _ := s.state.Fleet.Instance(args[0])
 		s.command("operator", i.Version, &jaywire.Command{Body: &jaywire.Command_DrainForMove{DrainForMove: &jaywire.DrainForMove{Instance: args[0], ToPool: args[1]}}})
@@ -189,7 +189,7 @@
 		s.mayBreak = args[0] == "yes"
 	case "end":
 	default:
-		s.t.Fatalf("no such event: %s", verb)
+		s.t.Fatalf("unknown event: %s", verb)
 	}
 }
 
@@ -234,7 +234,8 @@
 	s.publish()
 }
 
-// setWave sets a wave's phase; a version may be named, for a stale operator.
+// setWave sets a wave's phase. The optional version simulates an operator with outdated
+// information.
 func (s *session) setWave(wave, phase string, version []string) {
 	phases := map[string]jaywire.WavePhase{
 		"pause": jaywire.WavePhase_WAVE_PHASE_PAUSED, "resume": jaywire.WavePhase_WAVE_PHASE_RUNNING, "cancel": jaywire.WavePhase_WAVE_PHASE_CANCELLED,
@@ -247,9 +248,7 @@
 	s.command("operator", base, &jaywire.Command{Body: &jaywire.Command_SetWavePhase{SetWavePhase: &jaywire.SetWavePhase{Wave: wave, Phase: phases[phase]}}})
 }
 
-// each changes the workers that a name stands for: a worker, DC/RACK, or a
-// data centre.
-func (s *session) each(name string, change func(w *jayplatform.Instance)) {
+func (s *session) changeWorkers(name string, change func(w *jayplatform.Instance)) {
 	found := false
 	for id, w := range s.workers {
 		if id == name || w.DataCenter+"/"+w.Rack == name || w.DataCenter == name {
@@ -260,7 +259,7 @@
 		}
 	}
 	if !found {
-		s.t.Fatalf("nothing is named %s", name)
+		s.t.Fatalf("no worker matches %s", name)
 	}
 }
 
@@ -275,13 +274,12 @@
 	}
 }
 
-// report prints the decisions since the last report.
-func (s *session) report() {
+func (s *session) printDecisions() {
 	audit := s.state.Audit()
 	for _, e := range audit[s.audited:] {
 		line := fmt.Sprintf("%s %s", e.Kind, e.Subject)
 		if e.Kind == "attach" && e.Rejected == "" && s.now < 5*time.Second {
-			continue // the first attachments say nothing
+			continue // the initial attachments are omitted
 		}
 		if e.Before != "" || e.After != "" {
 			line += fmt.Sprintf(": %s -> %s", e.Before, e.After)
@@ -300,7 +298,8 @@
 	s.audited = len(audit)
 }
 
-// check looks at what the platform shows, not at what the state says.
+// check verifies the invariants against the state that the platform shows, not against the
+// planner's own state.
 func (s *session) check() {
 	s.checkBudgets()
 	s.checkTasks()
@@ -341,7 +340,7 @@
 	}
 }
 
-// runs reports whether a placed task runs at its worker.
+// runs reports whether a placed task runs on its worker.
 func (s *session) runs(key jaystate.TaskKey, task *jayjob.Task) bool {
 	for _, report := range s.workers[task.Instance].Tasks {
 		if report.Job == key.Job && report.Replica == int(key.Replica) && report.State == jayplatform.TaskRunning {
@@ -353,7 +352,7 @@
 
 func (s *session) summary() {
 	most, sum := 0, 0
-	for _, n := range s.moves {
+	for _, n := range s.taskStarts {
 		most = max(most, n-1)
 		sum += n - 1
 	}
--- a/jayplan/tasks.go
+++ b/jayplan/tasks.go
@@ -11,14 +11,14 @@
 	"jaythread/jaywire"
 )
 
-// blameWorker is on how many different jobs a worker must fail before it is
-// taken to be the cause.
-const blameWorker = 3
+// quarantineJobs is the number of different jobs that must fail on a worker before it is
+// quarantined as the cause of the failures.
+const quarantineJobs = 3
 
-// tasks ends what has ended, starts what was placed, and places the rest.
+// tasks ends the tasks that have ended, starts the placed ones and places the others.
 func (r *round) tasks() {
 	for _, key := range r.in.State.TaskKeys() {
-		r.follow(key, r.in.State.Tasks[key])
+		r.trackTask(key, r.in.State.Tasks[key])
 	}
 	r.quarantine()
 	stopping := map[jaystate.TaskKey]bool{}
@@ -39,8 +39,8 @@
 	r.endWithdrawn(stopping)
 }
 
-// endWithdrawn ends the tasks that their workers report as stopped although nothing
-// asks for it any more: their start was withdrawn.
+// endWithdrawn ends tasks that their workers report as stopped without a current stop
+// decision: their start was withdrawn because it was not reported in time.
 func (r *round) endWithdrawn(stopping map[jaystate.TaskKey]bool) {
 	for _, key := range r.in.State.TaskKeys() {
 		t := r.in.State.Tasks[key]
@@ -51,8 +51,9 @@
 	}
 }
 
-// follow starts a placed task at its worker and looks what became of it.
-func (r *round) follow(key jaystate.TaskKey, t *jayjob.Task) {
+// trackTask starts a placed task on its worker and handles what the worker reports about
+// it.
+func (r *round) trackTask(key jaystate.TaskKey, t *jayjob.Task) {
 	if t.Instance == "" {
 		return
 	}
@@ -62,21 +63,22 @@
 	case reported && report.State == jayplatform.TaskFailed:
 		r.end(t, "failed", "the worker reports a failure")
 	case reported:
-	case r.silent(t.Instance):
-		// The worker's lease on the task lapses by itself; only then may the
-		// task start elsewhere, or it would run in two places.
+	case r.unavailable(t.Instance):
+		// The worker stops the task when its lease expires. Starting it elsewhere earlier
+		// could run it on two workers.
 		if r.due(name+" lost", t.Fence, r.planner.settings.TaskLease) {
 			r.end(t, "lost", "the worker has been down for the lease")
 		}
 	case r.due(name+" start", t.Fence, r.planner.settings.TaskLease):
-		// The list may be late, or the start be on its way: the task may run there.
+		// The list may lag or the start may still be in transit, so that the task may run
+		// on the worker.
 		r.order(t.Instance, t.Fence, jayplatform.StopTask{Job: t.Job, Replica: t.Replica})
 	default:
 		r.order(t.Instance, t.Fence, jayplatform.StartTask{Job: t.Job, Replica: t.Replica})
 	}
 }
 
-func (r *round) silent(instance string) bool {
+func (r *round) unavailable(instance string) bool {
 	worker, listed := r.in.Workers[instance]
 	return !listed || worker.State == jayplatform.Down || worker.State == jayplatform.Gone
 }
@@ -90,7 +92,7 @@
 	return jayplatform.TaskReport{}, false
 }
 
-// endIfStopped ends a task that the worker reports as stopped.
+// endIfStopped ends a task that its worker reports as stopped.
 func (r *round) endIfStopped(d jayjob.Stop) {
 	report, reported := r.reportOf(&d.Task)
 	if reported && report.State == jayplatform.TaskStopped {
@@ -111,8 +113,8 @@
 	}}})
 }
 
-// quarantine takes workers out on which several different jobs failed. The
-// fold refuses it where the budget would not survive it.
+// quarantine proposes to quarantine workers on which several different jobs have failed.
+// The state rejects the proposal if the pool's budget would be broken.
 func (r *round) quarantine() {
 	jobs := map[string]map[string]bool{}
 	for key, t := range r.in.State.Tasks {
@@ -125,7 +127,7 @@
 	}
 	for _, id := range r.in.State.Fleet.IDs() {
 		i, _ := r.in.State.Fleet.Instance(id)
-		if len(jobs[id]) >= blameWorker && i.Available() {
+		if len(jobs[id]) >= quarantineJobs && i.Available() {
 			r.propose(fmt.Sprintf("%d jobs failed on it", len(jobs[id])), i.Version, &jaywire.Command{
 				Body: &jaywire.Command_QuarantineInstance{QuarantineInstance: &jaywire.QuarantineInstance{Instance: id}},
 			})
@@ -186,8 +188,8 @@
 	return place, ok
 }
 
-// taskList returns the known tasks and the declared ones that are not known
-// yet, in order. A replica above the declared number counts as withdrawn.
+// taskList returns the known tasks, followed by the declared ones that are not known yet.
+// A replica above the declared number is marked as withdrawn.
 func (r *round) taskList(declared map[jaystate.TaskKey]bool) []jayjob.Task {
 	var tasks []jayjob.Task
 	for _, key := range r.in.State.TaskKeys() {
--- a/jayplan/waves.go
+++ b/jayplan/waves.go
@@ -9,10 +9,11 @@
 	"jaythread/jaywire"
 )
 
-// correlated failures in one rack pause a wave: the next ones may follow.
-const correlated = 2
+// correlatedFailures is the number of failed instances in one rack that pauses a wave,
+// because more failures are likely to follow.
+const correlatedFailures = 2
 
-// waves carries on each wave: steps under way first, then new ones.
+// waves advances each wave: steps in progress first, then new ones.
 func (r *round) waves() {
 	for _, w := range r.in.State.Waves {
 		r.steps(w)
@@ -47,8 +48,8 @@
 
 func (r *round) draining(w *jaystate.Wave, step *jaystate.Step, i *jaypool.Instance) {
 	cancelled := w.Phase == jaywire.WavePhase_WAVE_PHASE_CANCELLED
-	// Look again before the instance is gone: a failure since the step was
-	// accepted may have used the reserve that it counted on.
+	// Check again before the reboot: a failure since the step was accepted may have used
+	// up the reserve.
 	atRisk := r.standing(i.Pool).Slack() < 0 && !i.Failed
 	if cancelled || atRisk {
 		reason := "cancelled"
@@ -60,12 +61,12 @@
 		return
 	}
 	r.order(i.ID, step.Fence, jayplatform.Drain{})
-	if r.quiet(i.ID, step.Fence) {
+	if r.drained(i.ID, step.Fence) {
 		r.advance(w, i, jaywire.StepPhase_STEP_PHASE_REBOOTING, "drained")
 		return
 	}
-	// A request or task that does not end, or a list that does not show its
-	// end, must not keep the instance out of service for good.
+	// A request or task that does not end, or an instance list that does not show its end,
+	// must not keep the instance out of service forever.
 	if r.due("drain "+i.ID, i.Version, r.planner.settings.RebootTimeout) {
 		r.order(i.ID, step.Fence, jayplatform.Undrain{})
 		r.advance(w, i, jaywire.StepPhase_STEP_PHASE_ABANDONED, "did not become idle in time")
@@ -101,29 +102,29 @@
 	})
 }
 
-// pauseOrResume pauses a wave on correlated failures and resumes it once they
-// have been over for twice the settle time, so that it does not flap.
+// pauseOrResume pauses a wave on correlated failures or a broken budget, and resumes it
+// once these have been over for twice the settle time to prevent flapping.
 func (r *round) pauseOrResume(w *jaystate.Wave) {
-	why := r.troubled(w)
-	calm := r.planner.calm
+	why := r.pauseReason(w)
+	healthySince := r.planner.healthySince
 	switch {
 	case w.Phase == jaywire.WavePhase_WAVE_PHASE_RUNNING && why != "":
 		r.setPhase(w, jaywire.WavePhase_WAVE_PHASE_PAUSED, why)
 	case w.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED && w.Automatic && why != "":
-		delete(calm, w.ID)
+		delete(healthySince, w.ID)
 	case w.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED && w.Automatic:
-		if _, seen := calm[w.ID]; !seen {
-			calm[w.ID] = r.in.Now
+		if _, seen := healthySince[w.ID]; !seen {
+			healthySince[w.ID] = r.in.Now
 		}
-		if r.in.Now.Sub(calm[w.ID]) >= 2*r.planner.settings.SettleTime {
-			delete(calm, w.ID)
+		if r.in.Now.Sub(healthySince[w.ID]) >= 2*r.planner.settings.SettleTime {
+			delete(healthySince, w.ID)
 			r.setPhase(w, jaywire.WavePhase_WAVE_PHASE_RUNNING, "failures are over")
 		}
 	}
 }
 
-// troubled says why a wave should pause, or returns "".
-func (r *round) troubled(w *jaystate.Wave) string {
+// pauseReason returns the reason why a wave should pause, or an empty string.
+func (r *round) pauseReason(w *jaystate.Wave) string {
 	failed := map[string]int{}
 	for _, id := range r.in.State.Fleet.IDs() {
 		i, _ := r.in.State.Fleet.Instance(id)
@@ -132,7 +133,7 @@
 		}
 		rack := i.Domain(jaypool.RackDomain)
 		failed[rack]++
-		if failed[rack] >= correlated {
+		if failed[rack] >= correlatedFailures {
 			return "several instances failed in rack " + rack
 		}
 	}
@@ -164,8 +165,8 @@
 	}
 }
 
-// waveView returns the wave's pools under the rules in force, and the rule
-// that decided for each pool.
+// waveView returns the wave's pools with the limits set by the rules, and by pool the rule
+// that applied.
 func (r *round) waveView(w *jaystate.Wave) (jaywave.View, map[string]string) {
 	view := jaywave.View{Fleet: r.in.State.Fleet, Wave: w.ID, Busy: r.busy}
 	rules := map[string]string{}
