--- a/jayfleet/fleet.go
+++ b/jayfleet/fleet.go
@@ -172,6 +172,7 @@
 	forWave
 )
 
+// New returns a fleet without hosts.
 func New(settings Settings) *Fleet {
 	return &Fleet{
 		settings: settings,
--- a/jayfleet/waves.go
+++ b/jayfleet/waves.go
@@ -247,6 +247,7 @@
 	f.actions = append(f.actions, RecordWave{Wave: w.Name, Maintained: names, Done: w.done, DeclaredAt: w.declaredAt})
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
