--- a/jaywave/play.go
+++ b/jaywave/play.go
@@ -10,40 +10,41 @@
 	"jaythread/jaypool"
 )
 
-// Failure is an instance that fails in a played wave and comes back.
+// Failure is a temporary failure of an instance in a simulated wave.
 type Failure struct {
 	Instance string
 	At       time.Duration
 	Until    time.Duration
 }
 
-// Started is a step of a played wave.
+// Started is a step of a simulated wave.
 type Started struct {
 	Instance string
 	At       time.Duration
 }
 
-// Run is how a played wave went.
+// Run is the result of a simulated wave.
 type Run struct {
 	Steps    []Started
 	RollOut  time.Duration
 	Breaches int
-	// BufferCost is the mean of spare over needed instances of the fleet.
+	// BufferCost is the ratio of spare to needed available instances, weighted by time.
 	BufferCost float64
-	// Stuck names instances that were never maintained.
+	// Stuck lists instances that were never maintained.
 	Stuck []string
-	// Rounds is how many decisions were taken.
+	// Rounds is the number of decisions.
 	Rounds int
-	// TaskMoves counts the moves of tasks, MostMoves those of one task.
+	// TaskMoves is the number of task moves, MostMoves the largest number of moves of one
+	// task.
 	TaskMoves int
 	MostMoves int
 }
 
-// Play plays a wave on the view's fleet, which it changes, as if each step
-// took the view's step time, with the failures given. It is a calculation for
-// dry runs and comparisons; nothing runs.
+// Play simulates a wave with the given failures, in which each step takes the view's
+// StepTime. It modifies the view's fleet. It is used for dry runs and comparisons and has
+// no effect on real instances.
 func Play(v View, p Policy, failures ...Failure) Run {
-	g := &game{view: v, policy: p, ends: map[string]time.Duration{}, moved: map[string]int{}}
+	g := &simulation{view: v, policy: p, ends: map[string]time.Duration{}, taskMoves: map[string]int{}}
 	g.view.Busy = maps.Clone(v.Busy)
 	for id := range g.view.Busy {
 		g.tasks = append(g.tasks, id)
@@ -65,7 +66,7 @@
 	failed   bool
 }
 
-type game struct {
+type simulation struct {
 	view   View
 	policy Policy
 	now    time.Duration
@@ -74,14 +75,14 @@
 	run    Run
 	spare  time.Duration
 	needed time.Duration
-	// tasks holds the instance of each task; moved counts by first instance.
-	tasks []string
-	moved map[string]int
+	// tasks holds the instance of each task; taskMoves counts the moves of each task.
+	tasks     []string
+	taskMoves map[string]int
 }
 
-// step starts what may start and goes on to the next event; it returns false
-// when nothing is left to happen.
-func (g *game) step() bool {
+// step starts the permitted steps and advances to the next event. It returns false if no
+// event is left.
+func (g *simulation) step() bool {
 	g.run.Rounds++
 	for _, id := range Next(g.view, g.policy) {
 		i, _ := g.view.Fleet.Instance(id)
@@ -92,20 +93,20 @@
 		g.ends[id] = g.now + g.view.StepTime
 		g.run.Steps = append(g.run.Steps, Started{Instance: id, At: g.now})
 	}
-	next, ok := g.next()
+	next, ok := g.nextEventTime()
 	if !ok {
 		return false
 	}
-	g.account(next - g.now)
+	g.addBufferCost(next - g.now)
 	g.now = next
 	g.endSteps()
 	g.failAndRecover()
 	return true
 }
 
-// moveTask moves the task of a draining instance to an instance of its pool
-// without one, one that was maintained if there is any.
-func (g *game) moveTask(from string) {
+// moveTask moves the task of a draining instance to an instance of the same pool without a
+// task, preferably one that has been maintained already.
+func (g *simulation) moveTask(from string) {
 	if !g.view.Busy[from] {
 		return
 	}
@@ -121,13 +122,13 @@
 		}
 		g.tasks[n] = target
 		task := fmt.Sprint("task ", n)
-		g.moved[task]++
+		g.taskMoves[task]++
 		g.run.TaskMoves++
-		g.run.MostMoves = max(g.run.MostMoves, g.moved[task])
+		g.run.MostMoves = max(g.run.MostMoves, g.taskMoves[task])
 	}
 }
 
-func (g *game) taskTarget(from string) string {
+func (g *simulation) taskTarget(from string) string {
 	pool, _ := g.view.Fleet.Instance(from)
 	target := ""
 	for _, id := range g.view.Fleet.IDs() {
@@ -145,7 +146,7 @@
 	return target
 }
 
-func (g *game) budget(pool string) jaypool.Budget {
+func (g *simulation) budget(pool string) jaypool.Budget {
 	for _, p := range g.view.Pools {
 		if p.Name == pool {
 			return p.Budget
@@ -154,7 +155,7 @@
 	return jaypool.Budget{}
 }
 
-func (g *game) next() (time.Duration, bool) {
+func (g *simulation) nextEventTime() (time.Duration, bool) {
 	var next time.Duration
 	found := false
 	for _, at := range g.ends {
@@ -168,7 +169,7 @@
 	return next, found
 }
 
-func (g *game) endSteps() {
+func (g *simulation) endSteps() {
 	for id, at := range g.ends {
 		if at > g.now {
 			continue
@@ -181,7 +182,7 @@
 	}
 }
 
-func (g *game) failAndRecover() {
+func (g *simulation) failAndRecover() {
 	for len(g.events) > 0 && g.events[0].at <= g.now {
 		e := g.events[0]
 		g.events = g.events[1:]
@@ -194,7 +195,7 @@
 	}
 }
 
-func (g *game) account(d time.Duration) {
+func (g *simulation) addBufferCost(d time.Duration) {
 	for _, p := range g.view.Pools {
 		s := g.view.Fleet.Pool(p.Name).Standing(p.Budget)
 		g.spare += d * time.Duration(s.Available-s.MinAvailable)
@@ -202,7 +203,7 @@
 	}
 }
 
-func (g *game) finish() {
+func (g *simulation) finish() {
 	if g.needed > 0 {
 		g.run.BufferCost = float64(g.spare) / float64(g.needed)
 	}
--- a/jaywave/wave.go
+++ b/jaywave/wave.go
@@ -1,5 +1,5 @@
-// Package jaywave decides which instances a maintenance wave stops next. It
-// is pure: the same view gives the same steps.
+// Package jaywave decides which instances a maintenance wave stops next. It is free of
+// side effects and deterministic: the same view gives the same steps.
 package jaywave
 
 import (
@@ -10,77 +10,79 @@
 	"jaythread/jaypool"
 )
 
-// Policy orders the steps of a wave. It is one of Packed, Sequential
-// or RackByRack.
+// Policy determines the order of the steps of a wave. It is one of Packed, Sequential and
+// RackByRack.
 type Policy interface {
 	isPolicy()
 }
 
-// Packed starts as many steps as the budgets allow, in the racks that are
-// already under maintenance first, and with Slack the pools with the least
-// remaining time flexibility first (after the S3 paper, section IV-A).
+// Packed starts as many steps as the budgets allow and prefers racks that are already
+// under maintenance. With Slack, pools with the least remaining time flexibility come
+// first (after the S3 paper, section IV-A).
 type Packed struct {
 	Slack bool
 }
 
-// Sequential stops one instance at a time in the whole fleet.
+// Sequential stops one instance at a time across the whole fleet.
 type Sequential struct{}
 
-// RackByRack empties one rack after another and waits for each to return.
+// RackByRack maintains one rack at a time and waits until all of its instances have
+// returned.
 type RackByRack struct{}
 
 func (Packed) isPolicy()     {}
 func (Sequential) isPolicy() {}
 func (RackByRack) isPolicy() {}
 
-// Pool is a pool's part in a wave.
+// Pool holds the limits of one pool in a wave.
 type Pool struct {
 	Name   string
 	Budget jaypool.Budget
-	// MaxShare bounds the share of members under maintenance; zero is no bound.
+	// MaxShare is the maximum fraction of the pool's members under maintenance; zero means
+	// no limit.
 	MaxShare float64
-	// Paused starts no step.
+	// Paused prevents new steps in the pool.
 	Paused bool
 }
 
-// View is what a decision is based on.
+// View is the state that a decision is based on.
 type View struct {
 	Fleet *jaypool.Fleet
-	// Wave is the identity noted in instances that were maintained.
+	// Wave is the identifier of the wave, recorded in instances that it has maintained.
 	Wave  string
 	Pools []Pool
-	// MaxConcurrent bounds the steps under way; zero is no bound.
+	// MaxConcurrent is the maximum number of steps in progress; zero means no limit.
 	MaxConcurrent int
-	// Busy holds the instances with a placed task; nil if that is not known.
+	// Busy holds the instances with a placed task; nil means unknown.
 	Busy map[string]bool
-	// StepTime is how long a step takes from drain to return.
+	// StepTime is the duration of a step from drain to return.
 	StepTime time.Duration
 }
 
-// Next returns the identities of the instances whose steps start now, and
-// changes nothing in the view.
+// Next returns the IDs of the instances whose steps start now. It does not modify the
+// view.
 func Next(v View, p Policy) []string {
 	r := newRound(v)
 	switch policy := p.(type) {
 	case Sequential:
 		r.limit = 1 - r.underWay
-		r.take(r.remaining)
+		r.startAllowed(r.remaining)
 	case RackByRack:
-		r.oneRack()
+		r.rackByRack()
 	case Packed:
 		r.packed(policy.Slack)
 	}
 	return r.chosen
 }
 
-// Remaining returns how many instances the wave has yet to maintain,
-// those under way included.
+// Remaining returns the number of instances that the wave has not yet maintained,
+// including those in progress.
 func Remaining(v View) int {
 	r := newRound(v)
 	return len(r.remaining) + r.underWay
 }
 
-// round is one decision: counters that follow the steps chosen so far.
+// round is one decision. Its counters include the steps chosen so far.
 type round struct {
 	view      View
 	pools     map[string]*poolRound
@@ -88,9 +90,9 @@
 	busyRacks map[string]int
 	underWay  int
 	limit     int
-	// mindTasks lets an instance wait until its task has where to go.
-	mindTasks bool
-	chosen    []string
+	// checkTaskTargets makes an instance wait until its task has an instance to move to.
+	checkTaskTargets bool
+	chosen           []string
 }
 
 type poolRound struct {
@@ -99,9 +101,9 @@
 	spread    *jaypool.Spread
 	underWay  int
 	remaining int
-	// free counts the maintained instances that can take a task.
+	// free is the number of maintained instances that can take a task.
 	free int
-	// empty counts the instances without a task that are due.
+	// empty is the number of unmaintained instances without a task.
 	empty int
 }
 
@@ -112,7 +114,7 @@
 		r.pools[p.Name] = &poolRound{Pool: p, standing: standing, spread: jaypool.NewSpread()}
 	}
 	for _, id := range v.Fleet.IDs() {
-		r.see(id)
+		r.countInstance(id)
 	}
 	r.limit = len(r.remaining)
 	if v.MaxConcurrent > 0 {
@@ -121,7 +123,7 @@
 	return r
 }
 
-func (r *round) see(id string) {
+func (r *round) countInstance(id string) {
 	i, _ := r.view.Fleet.Instance(id)
 	p, ok := r.pools[i.Pool]
 	if !ok {
@@ -136,11 +138,11 @@
 		p.underWay++
 		r.busyRacks[i.Domain(jaypool.RackDomain)]++
 	case jaypool.Serving:
-		r.seeServing(p, i)
+		r.countServing(p, i)
 	}
 }
 
-func (r *round) seeServing(p *poolRound, i *jaypool.Instance) {
+func (r *round) countServing(p *poolRound, i *jaypool.Instance) {
 	busy := r.view.Busy[i.ID]
 	switch {
 	case i.MaintainedIn != r.view.Wave && !i.Failed:
@@ -154,8 +156,8 @@
 	}
 }
 
-// take starts the steps that the budgets allow, in order.
-func (r *round) take(order []*jaypool.Instance) {
+// startAllowed starts the steps that the limits and budgets allow, in the given order.
+func (r *round) startAllowed(order []*jaypool.Instance) {
 	for _, i := range order {
 		if r.limit <= 0 {
 			return
@@ -174,7 +176,7 @@
 	if p.MaxShare > 0 && p.underWay+1 > max(1, int(p.MaxShare*float64(p.standing.Members))) {
 		return false
 	}
-	if r.mindTasks && r.view.Busy[i.ID] && !p.hasPlaceForTask() {
+	if r.checkTaskTargets && r.view.Busy[i.ID] && !p.hasTaskTarget() {
 		return false
 	}
 	if !i.Available() {
@@ -200,10 +202,10 @@
 	r.chosen = append(r.chosen, i.ID)
 }
 
-// hasPlaceForTask reports whether the task of one more instance would find a
-// maintained instance. If not, the instance waits while others are on their
-// way, or the task would have to move twice.
-func (p *poolRound) hasPlaceForTask() bool {
+// hasTaskTarget reports whether one more instance with a task may be stopped: its task can
+// move to a maintained instance, or no other step is in progress or possible that would
+// provide one. Otherwise the instance waits, because its task would have to move twice.
+func (p *poolRound) hasTaskTarget() bool {
 	return p.free > 0 || p.empty == 0 && p.underWay == 0
 }
 
@@ -212,8 +214,8 @@
 	return p.standing.Available - 1 - worst - p.standing.MinAvailable
 }
 
-// oneRack works on a single rack until all of it has returned.
-func (r *round) oneRack() {
+// rackByRack starts steps in a single rack until all of its instances have returned.
+func (r *round) rackByRack() {
 	rack := r.currentRack()
 	var members []*jaypool.Instance
 	for _, i := range r.remaining {
@@ -221,7 +223,7 @@
 			members = append(members, i)
 		}
 	}
-	r.take(members)
+	r.startAllowed(members)
 }
 
 func (r *round) currentRack() string {
@@ -244,10 +246,10 @@
 	return racks[0]
 }
 
-// packed orders the candidates so that open racks are finished first: a rack
-// that is partly stopped costs less of the reserve than a second one.
+// packed starts steps in racks under maintenance first: further instances of a partly
+// stopped rack use up less of the reserve than instances of another rack.
 func (r *round) packed(slack bool) {
-	r.mindTasks = true
+	r.checkTaskTargets = true
 	order := slices.Clone(r.remaining)
 	slices.SortStableFunc(order, func(a, b *jaypool.Instance) int {
 		if slack {
@@ -255,12 +257,12 @@
 				return c
 			}
 		}
-		// Empty instances first: once one has returned, the tasks of the
-		// others move there and need not move again in this wave.
+		// Instances without a task come first: once one has returned, tasks of other
+		// instances move there and need not move again in this wave.
 		if busyA, busyB := r.view.Busy[a.ID], r.view.Busy[b.ID]; busyA != busyB {
 			return compareBool(busyA, busyB)
 		}
-		if c := cmp.Compare(r.fullest(b), r.fullest(a)); c != 0 {
+		if c := cmp.Compare(r.domainSize(b), r.domainSize(a)); c != 0 {
 			return c
 		}
 		busyA := r.busyRacks[a.Domain(jaypool.RackDomain)]
@@ -270,7 +272,7 @@
 		}
 		return cmp.Compare(a.ID, b.ID)
 	})
-	r.take(order)
+	r.startAllowed(order)
 }
 
 // compareBool orders false before true.
@@ -284,16 +286,16 @@
 	return 1
 }
 
-// fullest is how many available members of the pool the instance's domain
-// holds: stopping in the fullest domain lowers the worst loss.
-func (r *round) fullest(i *jaypool.Instance) int {
+// domainSize returns the number of available members of the pool in the instance's failure
+// domain. Stopping an instance in the largest domain reduces the worst loss.
+func (r *round) domainSize(i *jaypool.Instance) int {
 	p := r.pools[i.Pool]
 	return p.spread.Count(i.Domain(p.Budget.Survive))
 }
 
-// flexibility is minus the time that the pool's remaining steps need at the
-// width its budget allows. The wave has one deadline for all pools, so the
-// pool with the longest remaining time has the least flexibility.
+// flexibility returns the negated time that the pool's remaining steps take with as many
+// steps in parallel as its budget allows. The wave has one deadline for all pools, so that
+// the pool with the longest remaining time has the least flexibility.
 func (r *round) flexibility(pool string) time.Duration {
 	p := r.pools[pool]
 	width := max(1, p.underWay+p.standing.Slack())
@@ -301,10 +303,9 @@
 	return -time.Duration(rounds) * r.view.StepTime
 }
 
-// LowerBound is the shortest roll-out that the budgets allow to any policy: a
-// pool of n members of which at most w may be stopped at once needs n/w steps
-// one after the other, and the fleet no less than all steps over the bound on
-// concurrent ones.
+// LowerBound returns the shortest roll-out time that the budgets allow under any policy. A
+// pool of n members of which at most w may be stopped at once needs n/w consecutive steps;
+// the fleet needs at least the total number of steps divided by MaxConcurrent.
 func LowerBound(v View) time.Duration {
 	var longest time.Duration
 	total := 0
@@ -323,8 +324,9 @@
 	return longest
 }
 
-// minWorstLoss is the least that the worst domain can hold when the pool runs
-// with only its minimum and the reserve: an even spread over its domains.
+// minWorstLoss returns the smallest possible size of the worst domain when the pool has
+// only its minimum and the reserve available, which is the case for an even distribution
+// over its domains.
 func minWorstLoss(s jaypool.Standing, v View, p Pool) int {
 	domains := map[string]bool{}
 	for _, id := range v.Fleet.IDs() {
@@ -335,8 +337,8 @@
 	if len(domains) <= 1 {
 		return 0
 	}
-	// With w available on top of the minimum over d domains, the worst holds
-	// at least (min+w)/d rounded up, and w must be no less than that.
+	// With w instances available beyond the minimum over d domains, the worst domain holds
+	// at least (min+w)/d of them, rounded up, and w must not be less than that.
 	for loss := 1; loss <= s.Members; loss++ {
 		available := p.Budget.MinAvailable + loss
 		if (available+len(domains)-1)/len(domains) <= loss {
--- a/jaywave/wave_test.go
+++ b/jaywave/wave_test.go
@@ -11,16 +11,17 @@
 	"jaythread/jaypool"
 )
 
-// size is a fleet to play waves on.
+// size describes a fleet for simulated waves.
 type size struct {
 	name    string
 	workers int
 	pools   int
 	centers int
 	rack    int
-	// minimum is the share of a pool that must stay available, in percent.
+	// minimum is the minimum availability of a pool in percent of its members.
 	minimum int
-	// concurrent bounds the steps under way in the fleet.
+	// concurrent is the maximum number of steps in progress in the fleet; zero means no
+	// limit.
 	concurrent int
 }
 
@@ -31,8 +32,8 @@
 	{name: "5600", workers: 5600, pools: 34, centers: 10, rack: 4, minimum: 80, concurrent: 400},
 }
 
-// view returns a fleet of this size. Pools differ in size: the first is half
-// as large again as the mean, the last half of it.
+// view returns a fleet of this size. In fleets with more than five pools, pools differ in
+// size: the first is 1.5 times as large as the mean, the last half as large.
 func (s size) view() View {
 	f := jaypool.NewFleet()
 	v := View{Fleet: f, Wave: "w", StepTime: 10 * time.Minute, MaxConcurrent: s.concurrent, Busy: map[string]bool{}}
@@ -64,7 +65,7 @@
 	return v
 }
 
-// rackFailure loses a rack in the middle of the wave for half an hour.
+// rackFailure returns the failure of a rack for half an hour in the middle of the wave.
 func (s size) rackFailure(v View) []Failure {
 	var failures []Failure
 	for _, id := range v.Fleet.IDs() {
@@ -86,7 +87,7 @@
 	{"packedSlack", Packed{Slack: true}},
 }
 
-func TestNoPolicyBreaksABudget(t *testing.T) {
+func TestPoliciesKeepBudgets(t *testing.T) {
 	for _, s := range sizes[:3] {
 		for _, p := range policies {
 			t.Run(s.name+" "+p.name, func(t *testing.T) {
@@ -101,7 +102,7 @@
 	}
 }
 
-func TestPackedIsNearTheLowerBound(t *testing.T) {
+func TestPackedNearLowerBound(t *testing.T) {
 	for _, s := range sizes[:3] {
 		t.Run(s.name, func(t *testing.T) {
 			is := is.New(t)
@@ -114,7 +115,7 @@
 	}
 }
 
-func TestRulesBoundAWave(t *testing.T) {
+func TestWaveLimits(t *testing.T) {
 	t.Run("a paused pool starts nothing", func(t *testing.T) {
 		v := sizes[0].view()
 		v.Pools[0].Paused = true
@@ -140,8 +141,8 @@
 	})
 }
 
-// TestNextKeepsBudgets draws fleets in any state and checks that all steps of
-// a decision together leave each budget with its reserve.
+// TestNextKeepsBudgets generates fleets in arbitrary states and checks that all steps of a
+// decision together keep the budget of the first pool, including the reserve.
 func TestNextKeepsBudgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := size{workers: rapid.IntRange(4, 40).Draw(t, "workers"), pools: 2, centers: 2, rack: 3, minimum: rapid.IntRange(0, 100).Draw(t, "minimum")}
@@ -165,14 +166,14 @@
 	})
 }
 
-// BenchmarkPolicies prints, for each size and policy, the roll-out time, how
-// far it is from the lower bound, task moves, breaches with a rack lost in
-// the middle, and the time of one decision.
+// BenchmarkPolicies reports for each size and policy the roll-out time, its ratio to the
+// lower bound, the task moves, the breaches with a rack failure during the wave, and the
+// time of a whole simulation.
 func BenchmarkPolicies(b *testing.B) {
 	for _, s := range sizes {
 		for _, p := range policies {
 			if s.workers > 1000 && p.name == "sequential" {
-				continue // 5,600 steps one by one say what 560 say
+				continue // 5,600 sequential steps show nothing beyond 560
 			}
 			b.Run(s.name+"/"+p.name, func(b *testing.B) {
 				var run Run
@@ -192,8 +193,8 @@
 	}
 }
 
-// BenchmarkReserve prints the reserve that the promise to survive two domains
-// one after the other needs, kept by each pool and shared.
+// BenchmarkReserve reports the reserve required to survive the loss of two domains in
+// succession, kept per pool and shared.
 func BenchmarkReserve(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.name, func(b *testing.B) {
@@ -210,7 +211,7 @@
 	}
 }
 
-// BenchmarkCapacityNext is the time of one decision by fleet size.
+// BenchmarkCapacityNext measures the time of one decision by fleet size.
 func BenchmarkCapacityNext(b *testing.B) {
 	for _, s := range []size{sizes[0], sizes[2], sizes[3]} {
 		b.Run(fmt.Sprint(s.workers), func(b *testing.B) {
