--- a/jaypool/budget.go
+++ b/jaypool/budget.go
@@ -1,44 +1,45 @@
 package jaypool
 
-// DomainKind says which kind of failure domain a budget must survive.
+// DomainKind is a kind of failure domain.
 type DomainKind uint8
 
 const (
-	// RackDomain is the default.
+	// RackDomain is a rack. It is the default.
 	RackDomain DomainKind = iota
-	// DataCenterDomain asks for more reserve.
+	// DataCenterDomain is a whole data centre. Surviving its loss requires more reserve.
 	DataCenterDomain
 )
 
-// Budget is a pool's promise: MinAvailable instances stay available, also when
-// the worst single failure domain of the given kind is lost.
+// Budget is a pool's availability budget: at least MinAvailable instances remain
+// available, even if the worst single failure domain of kind Survive is lost.
 type Budget struct {
 	MinAvailable int
 	Survive      DomainKind
 }
 
-// Standing is how a pool stands against its budget.
+// Standing is the state of a pool relative to its budget.
 type Standing struct {
 	Members   int
 	Available int
-	// WorstLoss is how many available instances the worst failure domain has.
+	// WorstLoss is the largest number of available instances in one failure domain.
 	WorstLoss int
-	// MinAvailable repeats the budget.
+	// MinAvailable is the minimum of the budget.
 	MinAvailable int
 }
 
-// Holds reports whether the budget holds now.
+// Holds reports whether the minimum is available now.
 func (s Standing) Holds() bool {
 	return s.Available >= s.MinAvailable
 }
 
-// Slack is how many more instances may stop before the loss of the worst
-// failure domain would break the budget. It is negative when one would.
+// Slack returns the number of instances that may still stop before the loss of the worst
+// failure domain would break the budget. It is negative if that loss would break the
+// budget already.
 func (s Standing) Slack() int {
 	return s.Available - s.WorstLoss - s.MinAvailable
 }
 
-// Pool counts the members of one pool.
+// Pool holds the counters of one pool.
 type Pool struct {
 	Name      string
 	members   int
@@ -51,7 +52,7 @@
 	return &Pool{Name: name, racks: NewSpread(), centers: NewSpread()}
 }
 
-// Standing returns how the pool stands against a budget.
+// Standing returns the state of the pool relative to a budget.
 func (p *Pool) Standing(b Budget) Standing {
 	return Standing{
 		Members:      p.members,
@@ -68,7 +69,7 @@
 	return p.racks
 }
 
-// StandingWithout returns the standing after one available member has stopped.
+// StandingWithout returns the standing after the given available member has stopped.
 func (p *Pool) StandingWithout(i *Instance, b Budget) Standing {
 	if !i.Available() || i.Pool != p.Name {
 		return p.Standing(b)
--- a/jaypool/example_test.go
+++ b/jaypool/example_test.go
@@ -14,7 +14,7 @@
 	}
 	budget := jaypool.Budget{MinAvailable: 1}
 	fmt.Println(fleet.BeginDrain("seats-r1", 1, budget))
-	// Losing one more rack on top would leave none.
+	// The loss of another rack would leave no instance available.
 	err := fleet.BeginDrain("seats-r2", 1, budget)
 	fmt.Println(errors.Is(err, jaypool.ErrBudget))
 	// Output:
--- a/jaypool/fleet.go
+++ b/jaypool/fleet.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Errors of the fleet's own rules. The fold turns them into rejections.
+// Errors for commands that violate the fleet's rules. The state rejects such commands.
 var (
 	ErrUnknownInstance = errors.New("unknown instance")
 	ErrStaleVersion    = errors.New("stale version")
@@ -16,8 +16,8 @@
 	ErrPhase           = errors.New("instance is in another phase")
 )
 
-// Fleet is all instances with their pools. An instance stands in one pool at
-// most, because its pool is one field of it.
+// Fleet holds all instances and their pools. An instance belongs to at most one pool,
+// because the pool is a single field of the instance.
 type Fleet struct {
 	instances map[string]*Instance
 	ids       []string
@@ -29,18 +29,18 @@
 	return &Fleet{instances: map[string]*Instance{}, pools: map[string]*Pool{}}
 }
 
-// Instance returns the instance with this identity.
+// Instance returns the instance with the given ID.
 func (f *Fleet) Instance(id string) (*Instance, bool) {
 	i, ok := f.instances[id]
 	return i, ok
 }
 
-// IDs returns the identities of all instances in order; do not change it.
+// IDs returns the sorted IDs of all instances. The caller must not modify the slice.
 func (f *Fleet) IDs() []string {
 	return f.ids
 }
 
-// Pool returns the counters of a pool; an unknown pool is empty.
+// Pool returns the counters of a pool. An unknown pool is created empty.
 func (f *Fleet) Pool(name string) *Pool {
 	p, ok := f.pools[name]
 	if !ok {
@@ -50,17 +50,17 @@
 	return p
 }
 
-// Restore puts an instance back as a snapshot has it.
+// Restore adds an instance from a snapshot without any checks.
 func (f *Fleet) Restore(i Instance) {
 	if _, known := f.instances[i.ID]; !known {
 		at, _ := slices.BinarySearch(f.ids, i.ID)
 		f.ids = slices.Insert(f.ids, at, i.ID)
 	}
 	f.instances[i.ID] = &i
-	f.join(&i)
+	f.addToCounts(&i)
 }
 
-// Attach puts an instance into a pool. It must belong to none.
+// Attach adds an instance to a pool. It must not belong to a pool already.
 func (f *Fleet) Attach(fresh Instance, base uint64) error {
 	old, known := f.instances[fresh.ID]
 	if known {
@@ -86,29 +86,29 @@
 	return nil
 }
 
-// Move says where an instance goes.
+// Move describes the move of an instance to another pool.
 type Move struct {
 	ToPool string
 	// Fence is the offset of the command.
 	Fence uint64
-	// Lent instances keep their home.
+	// Lent keeps the instance's home pool unchanged.
 	Lent bool
 }
 
-// DrainForMove stops new work on an instance that will change its pool. The
-// donor's budget must hold without it.
+// DrainForMove stops new work on an instance that moves to another pool. The budget of its
+// current pool must hold without it.
 func (f *Fleet) DrainForMove(id string, m Move, base uint64, budget Budget) error {
-	i, err := f.at(id, base)
+	i, err := f.lookup(id, base)
 	if err != nil {
 		return err
 	}
 	if i.Pool == m.ToPool {
 		return fmt.Errorf("%w: %s is in %s already", ErrAttached, id, m.ToPool)
 	}
-	if err := f.maySpare(i, budget); err != nil {
+	if err := f.checkRemoval(i, budget); err != nil {
 		return err
 	}
-	f.change(i, func() {
+	f.update(i, func() {
 		i.Phase = Leaving
 		i.MoveTo = m.ToPool
 		i.Fence = m.Fence
@@ -119,32 +119,32 @@
 	return nil
 }
 
-// Detach takes a drained instance out of its pool.
+// Detach removes a drained instance from its pool.
 func (f *Fleet) Detach(id string, base uint64) error {
-	i, err := f.at(id, base)
+	i, err := f.lookup(id, base)
 	if err != nil {
 		return err
 	}
 	if i.Phase != Leaving {
 		return fmt.Errorf("%w: %s is %s", ErrPhase, id, i.Phase)
 	}
-	f.leave(i)
+	f.removeFromCounts(i)
 	i.Phase = Detached
 	i.Pool = ""
 	i.Version++
 	return nil
 }
 
-// Remove forgets an instance that failed and will not come back.
+// Remove deletes a failed instance that will not return.
 func (f *Fleet) Remove(id string, base uint64) error {
-	i, err := f.at(id, base)
+	i, err := f.lookup(id, base)
 	if err != nil {
 		return err
 	}
 	if !i.Failed {
 		return fmt.Errorf("%w: %s has not failed", ErrPhase, id)
 	}
-	f.leave(i)
+	f.removeFromCounts(i)
 	delete(f.instances, id)
 	if at, found := slices.BinarySearch(f.ids, id); found {
 		f.ids = slices.Delete(f.ids, at, at+1)
@@ -152,10 +152,10 @@
 	return nil
 }
 
-// BeginDrain starts the maintenance of an instance. The pool's budget must
-// hold without it, also when the worst failure domain is lost.
+// BeginDrain starts the maintenance of an instance. The pool's budget must hold without
+// the instance, including the loss of the worst failure domain.
 func (f *Fleet) BeginDrain(id string, base uint64, budget Budget) error {
-	i, err := f.at(id, base)
+	i, err := f.lookup(id, base)
 	if err != nil {
 		return err
 	}
@@ -163,28 +163,28 @@
 		return fmt.Errorf("%w: %s is %s", ErrPhase, id, i.Phase)
 	}
 	if i.Available() {
-		if err := f.maySpare(i, budget); err != nil {
+		if err := f.checkRemoval(i, budget); err != nil {
 			return err
 		}
 	}
-	f.change(i, func() { i.Phase = Draining })
+	f.update(i, func() { i.Phase = Draining })
 	return nil
 }
 
-// Advance moves an instance from one phase of its maintenance to the next.
+// Advance moves an instance from one maintenance phase to the next.
 func (f *Fleet) Advance(id string, base uint64, from, to Phase) error {
-	i, err := f.at(id, base)
+	i, err := f.lookup(id, base)
 	if err != nil {
 		return err
 	}
 	if i.Phase != from {
 		return fmt.Errorf("%w: %s is %s, not %s", ErrPhase, id, i.Phase, from)
 	}
-	f.change(i, func() { i.Phase = to })
+	f.update(i, func() { i.Phase = to })
 	return nil
 }
 
-// Return ends the maintenance of an instance and notes the wave.
+// Return ends the maintenance of an instance and records the wave.
 func (f *Fleet) Return(id string, base uint64, wave string) error {
 	if err := f.Advance(id, base, Settling, Serving); err != nil {
 		return err
@@ -193,33 +193,33 @@
 	return nil
 }
 
-// SetFailed notes that an instance failed or recovered.
+// SetFailed records that an instance has failed or recovered.
 func (f *Fleet) SetFailed(id string, failed bool) error {
 	i, ok := f.instances[id]
 	if !ok {
 		return fmt.Errorf("%w: %s", ErrUnknownInstance, id)
 	}
-	f.change(i, func() { i.Failed = failed })
+	f.update(i, func() { i.Failed = failed })
 	return nil
 }
 
-// SetQuarantined takes an instance out of placement or gives it back. Taking
-// it out counts against the budget.
+// SetQuarantined starts or ends the quarantine of an instance. A quarantined instance is
+// not available, so that the pool's budget must hold without it.
 func (f *Fleet) SetQuarantined(id string, on bool, base uint64, budget Budget) error {
-	i, err := f.at(id, base)
+	i, err := f.lookup(id, base)
 	if err != nil {
 		return err
 	}
 	if on {
-		if err := f.maySpare(i, budget); err != nil {
+		if err := f.checkRemoval(i, budget); err != nil {
 			return err
 		}
 	}
-	f.change(i, func() { i.Quarantined = on })
+	f.update(i, func() { i.Quarantined = on })
 	return nil
 }
 
-func (f *Fleet) maySpare(i *Instance, budget Budget) error {
+func (f *Fleet) checkRemoval(i *Instance, budget Budget) error {
 	if !i.Available() {
 		return fmt.Errorf("%w: %s", ErrNotAvailable, i.ID)
 	}
@@ -231,7 +231,7 @@
 	return nil
 }
 
-func (f *Fleet) at(id string, base uint64) (*Instance, error) {
+func (f *Fleet) lookup(id string, base uint64) (*Instance, error) {
 	i, ok := f.instances[id]
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrUnknownInstance, id)
@@ -246,14 +246,14 @@
 	return fmt.Errorf("%w: %s is at %d, the command was based on %d", ErrStaleVersion, i.ID, i.Version, base)
 }
 
-func (f *Fleet) change(i *Instance, apply func()) {
-	f.leave(i)
+func (f *Fleet) update(i *Instance, apply func()) {
+	f.removeFromCounts(i)
 	apply()
 	i.Version++
-	f.join(i)
+	f.addToCounts(i)
 }
 
-func (f *Fleet) join(i *Instance) {
+func (f *Fleet) addToCounts(i *Instance) {
 	if i.Phase == Detached {
 		return
 	}
@@ -264,7 +264,7 @@
 	}
 }
 
-func (f *Fleet) leave(i *Instance) {
+func (f *Fleet) removeFromCounts(i *Instance) {
 	if i.Phase == Detached {
 		return
 	}
--- a/jaypool/fleet_test.go
+++ b/jaypool/fleet_test.go
@@ -11,7 +11,7 @@
 
 var budget = Budget{MinAvailable: 3}
 
-// newTestFleet returns a pool of six instances in three racks of two.
+// newTestFleet returns a fleet with one pool of six instances in three racks of two.
 func newTestFleet(t testing.TB) *Fleet {
 	t.Helper()
 	f := NewFleet()
@@ -55,12 +55,9 @@
 }
 
 func TestStaleCommand(t *testing.T) {
-	// Symptom: an instance is drained by a plan that was made before it
-	// failed and came back.
-	// Sequence: a planner reads version 1; the instance changes to version 3;
-	// the planner's command arrives.
-	// Cause: without versions the command would meet another state than the
-	// one it was decided on.
+	// Guards against a command that was decided on outdated state: a planner reads version
+	// 1, the instance fails and recovers, which makes it version 3, and then the planner's
+	// command to drain it arrives.
 	is := is.New(t)
 	f := newTestFleet(t)
 	is.NoErr(f.SetFailed("w0", true))
@@ -74,17 +71,16 @@
 	f := newTestFleet(t)
 	is.True(errors.Is(f.Attach(Instance{ID: "w0", Pool: "fees"}, 1), ErrAttached))
 	is.NoErr(f.DrainForMove("w0", Move{ToPool: "fees", Fence: 9}, 1, budget))
-	is.True(errors.Is(f.Attach(Instance{ID: "w0", Pool: "fees"}, 2), ErrAttached)) // it still drains
+	is.True(errors.Is(f.Attach(Instance{ID: "w0", Pool: "fees"}, 2), ErrAttached)) // it is still draining
 	is.NoErr(f.Detach("w0", 2))
 	is.Equal(f.Pool("seats").Standing(budget).Members, 5)
 	is.NoErr(f.Attach(Instance{ID: "w0", Pool: "fees"}, 3))
 	is.Equal(f.Pool("fees").Standing(budget).Members, 1)
 }
 
-// TestFleetRules drives a fleet with any commands and checks after each one
-// that no accepted command broke the budget and that the counters are those
-// of the instances.
-func TestFleetRules(t *testing.T) {
+// TestFleetInvariants applies random commands and checks after each that no accepted
+// command broke the budget and that the counters match the instances.
+func TestFleetInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFleet()
 		for n := range 6 {
--- a/jaypool/instance.go
+++ b/jaypool/instance.go
@@ -1,9 +1,9 @@
-// Package jaypool holds the aggregates pool and instance: which instances a
-// pool has, what they are doing and whether the pool's availability budget
-// holds. It has no clock, no I/O and no goroutine.
+// Package jaypool implements pools and their instances: the members of each pool, their
+// phases, and whether the pool's availability budget holds. It has no clock, no I/O and no
+// goroutines.
 package jaypool
 
-// Phase is what an instance of a pool is doing.
+// Phase is the state of an instance in its pool.
 type Phase uint8
 
 const (
@@ -13,7 +13,7 @@
 	Draining
 	// Rebooting instances are under maintenance.
 	Rebooting
-	// Settling instances are back and not yet counted as available.
+	// Settling instances are back but do not yet count as available.
 	Settling
 	// Leaving instances finish their work before they move to another pool.
 	Leaving
@@ -23,7 +23,7 @@
 
 var phaseNames = [...]string{"serving", "draining", "rebooting", "settling", "leaving", "detached"}
 
-// String returns the phase in lower case.
+// String returns the name of the phase in lower case.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -31,7 +31,7 @@
 	return "unknown"
 }
 
-// Resources are what an instance offers or a task needs.
+// Resources is the capacity of an instance or the demand of a task.
 type Resources struct {
 	ProcessorsMilli int64
 	MemoryMegabytes int64
@@ -54,7 +54,7 @@
 	}
 }
 
-// Times returns so many times r.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int64) Resources {
 	return Resources{
 		ProcessorsMilli: r.ProcessorsMilli * n,
@@ -63,7 +63,7 @@
 	}
 }
 
-// Max returns the larger of r and other, each resource by itself.
+// Max returns the element-wise maximum of r and other.
 func (r Resources) Max(other Resources) Resources {
 	return Resources{
 		ProcessorsMilli: max(r.ProcessorsMilli, other.ProcessorsMilli),
@@ -72,7 +72,7 @@
 	}
 }
 
-// Sub returns r less other.
+// Sub returns r minus other.
 func (r Resources) Sub(other Resources) Resources {
 	return Resources{
 		ProcessorsMilli: r.ProcessorsMilli - other.ProcessorsMilli,
@@ -81,7 +81,7 @@
 	}
 }
 
-// Instance is a worker and its place in the fleet.
+// Instance is a worker and its state in the fleet.
 type Instance struct {
 	ID          string
 	Pool        string
@@ -90,29 +90,28 @@
 	Phase       Phase
 	Failed      bool
 	Quarantined bool
-	// Version rises with each accepted change of the instance.
+	// Version is incremented by each accepted change of the instance.
 	Version uint64
-	// MoveTo is the pool that a leaving or detached instance goes to.
+	// MoveTo is the destination pool of a leaving or detached instance.
 	MoveTo string
-	// MaintainedIn is the last wave that returned the instance.
+	// MaintainedIn is the last wave that maintained the instance.
 	MaintainedIn string
 	Capacity     Resources
-	// Fence is the offset at which the instance was last told to drain for a
-	// move.
+	// Fence is the offset of the last command to drain the instance for a move.
 	Fence uint64
-	// Home is the pool that a lent instance goes back to.
+	// Home is the pool that a lent instance returns to.
 	Home string
 
-	// rackDomain is kept since it is asked for very often.
+	// rackDomain caches the rack domain, because Domain is called very often.
 	rackDomain string
 }
 
-// Available reports whether the instance counts for its pool's budget.
+// Available reports whether the instance counts towards its pool's budget.
 func (i *Instance) Available() bool {
 	return i.Phase == Serving && !i.Failed && !i.Quarantined
 }
 
-// Domain returns the failure domain of the given kind.
+// Domain returns the instance's failure domain of the given kind.
 func (i *Instance) Domain(kind DomainKind) string {
 	if kind == DataCenterDomain {
 		return i.DataCenter
--- a/jaypool/spread.go
+++ b/jaypool/spread.go
@@ -1,10 +1,10 @@
 package jaypool
 
-// Spread counts available instances by failure domain, and knows the worst
-// domain without looking at all of them.
+// Spread counts available instances by failure domain and maintains the largest count
+// without scanning all domains.
 type Spread struct {
 	domains map[string]int
-	// bySize counts the domains of each size.
+	// bySize is the number of domains by their count of instances.
 	bySize []int
 	worst  int
 }
@@ -14,7 +14,7 @@
 	return &Spread{domains: map[string]int{}, bySize: make([]int, 1)}
 }
 
-// Add changes the count of a domain by one, up or down.
+// Add adds n, which is 1 or -1, to the count of a domain.
 func (s *Spread) Add(domain string, n int) {
 	before := s.domains[domain]
 	after := before + n
@@ -32,18 +32,18 @@
 	}
 }
 
-// Count returns the count of a domain.
+// Count returns the number of available instances in a domain.
 func (s *Spread) Count(domain string) int {
 	return s.domains[domain]
 }
 
-// Worst returns the largest count.
+// Worst returns the count of the largest domain.
 func (s *Spread) Worst() int {
 	return s.worst
 }
 
-// WorstWithout returns the largest count after one instance of a domain has
-// stopped.
+// WorstWithout returns the count of the largest domain after one instance of the given
+// domain has stopped.
 func (s *Spread) WorstWithout(domain string) int {
 	if s.domains[domain] == s.worst && s.bySize[s.worst] == 1 {
 		return max(0, s.worst-1)
--- a/jaypool/spread_test.go
+++ b/jaypool/spread_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestSpread compares the counters with a plain count over all domains.
+// TestSpread compares the counters with counts over all domains.
 func TestSpread(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, plain := NewSpread(), map[string]int{}
