--- a/jayrule/action.go
+++ b/jayrule/action.go
@@ -6,45 +6,48 @@
 	"time"
 )
 
-// Action is what a rule decides: Route, Refuse, PauseWave, LimitWave, Lend or
-// PlaceJob.
+// Action is the decision of a rule: Route, Refuse, PauseWave, LimitWave, Lend or PlaceJob.
 type Action interface {
 	isAction()
 }
 
-// Route sends a request to a pool.
+// Route forwards a request to a pool.
 type Route struct {
 	Pool string
-	// Idempotent says that the request may run more than once.
+	// Idempotent marks the request as safe to run more than once.
 	Idempotent bool
-	// Timeout bounds the whole request; zero takes the settings' value.
+	// Timeout is the maximum duration of the whole request; zero means the value in the
+	// settings.
 	Timeout  time.Duration
 	Priority Priority
-	// CallerRate is the most requests a second of one caller; zero is no limit.
+	// CallerRate is the maximum number of requests per second of one caller; zero means no
+	// limit.
 	CallerRate float64
 }
 
-// Refuse answers a request as not run.
+// Refuse rejects a request without running it.
 type Refuse struct {
 	Reason string
 }
 
-// PauseWave starts no step.
+// PauseWave prevents new steps of a wave.
 type PauseWave struct{}
 
-// LimitWave bounds the share of a pool that is under maintenance at once.
+// LimitWave limits the fraction of a pool that is under maintenance at once.
 type LimitWave struct {
-	// Share is between 0 and 1.
+	// Share is the maximum fraction, greater than 0 and at most 1.
 	Share float64
 }
 
-// Lend lets a pool's instance move to a pool whose budget is at risk.
+// Lend allows an instance of the pool to move to another pool whose budget is at risk.
 type Lend struct{}
 
-// PlaceJob says where a job may run and whom it may displace.
+// PlaceJob restricts where a job may run and determines whether it may displace other
+// jobs.
 type PlaceJob struct {
 	DataCenters []string
-	// Displace lets the job checkpoint and displace jobs of lower priority.
+	// Displace allows the job to stop tasks of jobs with lower priority, which are
+	// checkpointed first.
 	Displace bool
 }
 
@@ -55,17 +58,17 @@
 func (Lend) isAction()      {}
 func (PlaceJob) isAction()  {}
 
-// Priority orders requests and jobs; a higher one goes first.
+// Priority is the priority of a request or job; higher ones come first.
 type Priority uint8
 
-// The priorities, lowest first.
+// Priorities in ascending order.
 const (
 	Low Priority = iota
 	Normal
 	Urgent
 )
 
-// ParsePriority reads low, normal or urgent; empty is normal.
+// ParsePriority parses low, normal or urgent; the empty string means normal.
 func ParsePriority(text string) (Priority, error) {
 	switch text {
 	case "low":
@@ -79,13 +82,14 @@
 	}
 }
 
-// String returns low, normal or urgent.
+// String returns the name of the priority: low, normal or urgent.
 func (p Priority) String() string {
 	return [...]string{"low", "normal", "urgent"}[min(p, Urgent)]
 }
 
-// Then is the written form of an action; exactly one field is set, besides
-// the fields that go with route.
+// Then is the encoded form of an action. Exactly one action must be set; idempotent,
+// timeoutMillis, priority and callerRate belong to route, dataCenters and displace to a
+// job's placement.
 type Then struct {
 	Route         string   `json:"route"`
 	Idempotent    *bool    `json:"idempotent"`
@@ -100,10 +104,10 @@
 	Displace      *bool    `json:"displace"`
 }
 
-// ErrAction is reported for a then-part that is no action of the rule's kind.
+// ErrAction reports a then part that is not a valid action for the rule's kind.
 var ErrAction = errors.New("then does not fit the rule's kind")
 
-// Action returns the rule's action. It fails if then holds none or one of
+// Action returns the rule's action. It fails if the then part has no action or one of
 // another kind.
 func (r *Rule) Action() (Action, error) {
 	switch r.About {
--- a/jayrule/hours.go
+++ b/jayrule/hours.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// ParseHours reads HH:MM-HH:MM and returns both ends in minutes of the day.
+// ParseHours parses an interval of the form HH:MM-HH:MM and returns its ends in minutes
+// since midnight.
 func ParseHours(text string) (from, to int, err error) {
 	var h1, m1, h2, m2 int
 	n, _ := fmt.Sscanf(text, "%d:%d-%d:%d", &h1, &m1, &h2, &m2)
--- a/jayrule/rule.go
+++ b/jayrule/rule.go
@@ -1,5 +1,5 @@
-// Package jayrule holds the ordered when-then rules by which operators steer
-// requests, waves and placement. The first rule that matches decides.
+// Package jayrule implements the ordered when-then rules with which operators control
+// requests, waves, moves and placement. The first matching rule applies.
 package jayrule
 
 import (
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// Kind says what a rule decides about.
+// Kind is the kind of decision that a rule applies to.
 type Kind string
 
-// The kinds of rules. All stand in one list; a subject looks at its own kind.
+// Kinds of rules. All rules are in one list; only those of the subject's kind are
+// evaluated.
 const (
 	AboutRequest Kind = "request"
 	AboutWave    Kind = "wave"
@@ -27,8 +28,8 @@
 	Then  Then   `json:"then"`
 }
 
-// When is a condition; an empty field matches everything. A text that ends in
-// an asterisk matches every text with that beginning.
+// When is a condition. An empty field matches everything. A pattern that ends in an
+// asterisk matches every value with that prefix.
 type When struct {
 	Service  []string          `json:"service"`
 	Method   []string          `json:"method"`
@@ -40,12 +41,13 @@
 	Team     []string          `json:"team"`
 	// PoolState is holds, tight (no slack) or broken.
 	PoolState []string `json:"poolState"`
-	// Hours is HH:MM-HH:MM in the configuration's time zone; it may pass
+	// Hours is an interval HH:MM-HH:MM in the configuration's time zone; it may include
 	// midnight.
 	Hours string `json:"hours"`
 }
 
-// Subject is what a rule is asked about. Fields that do not apply are empty.
+// Subject holds the attributes that rules are matched against. Attributes that do not
+// apply are empty.
 type Subject struct {
 	Kind      Kind
 	Service   string
@@ -57,8 +59,8 @@
 	Pool      string
 	Team      string
 	PoolState string
-	// PoolStateOf returns the state of a pool by name. A request has no pool
-	// before a rule routes it, so its rules ask about the pool that they name.
+	// PoolStateOf returns the state of a pool by name. A request has no pool before a rule
+	// routes it, so that rules for requests use the state of the pool that they name.
 	PoolStateOf func(pool string) string
 	// Time is in the configuration's time zone.
 	Time time.Time
@@ -67,15 +69,15 @@
 // List is an ordered list of rules.
 type List []Rule
 
-// Trace says why one rule did or did not decide.
+// Trace explains why a rule did or did not match.
 type Trace struct {
 	Rule    string `json:"rule"`
 	Matched bool   `json:"matched"`
-	// Why names the first condition that did not match.
+	// Why is the name of the first condition that did not match.
 	Why string `json:"why"`
 }
 
-// Decide returns the first rule that matches, or false if none does.
+// Decide returns the first matching rule, or false if no rule matches.
 func (l List) Decide(s *Subject) (*Rule, bool) {
 	for i := range l {
 		if l[i].About == s.Kind && l[i].mismatch(s) == "" {
@@ -85,7 +87,8 @@
 	return nil, false
 }
 
-// Explain returns a trace of each rule up to the one that decides.
+// Explain returns a trace of each rule of the subject's kind, up to the first that
+// matches.
 func (l List) Explain(s *Subject) []Trace {
 	var traces []Trace
 	for i := range l {
@@ -101,8 +104,8 @@
 	return traces
 }
 
-// Shadowed returns the earlier rule that matches whatever rule i matches, so
-// that rule i can never decide.
+// Shadowed returns the name of an earlier rule that matches everything that rule i
+// matches, so that rule i never applies.
 func (l List) Shadowed(i int) (string, bool) {
 	for j := range i {
 		if l[j].About == l[i].About && l[j].When.covers(&l[i].When) {
@@ -112,7 +115,7 @@
 	return "", false
 }
 
-// mismatch returns the name of the first condition that fails, or "".
+// mismatch returns the name of the first condition that fails, or an empty string.
 func (r *Rule) mismatch(s *Subject) string {
 	if s.Kind != AboutRequest {
 		return r.When.mismatch(s)
@@ -127,8 +130,8 @@
 	return r.When.mismatch(&request)
 }
 
-// namedPool is the pool whose state a request's rule asks about: the one that
-// when names, or else the one that it routes to.
+// namedPool returns the pool whose state a rule for requests refers to: the first pool in
+// its condition, or else the pool that it routes to.
 func (r *Rule) namedPool() string {
 	if len(r.When.Pool) > 0 {
 		return r.When.Pool[0]
@@ -224,8 +227,8 @@
 	return pattern == value
 }
 
-// Matches reports whether a text matches a pattern: equal, or with the same
-// beginning if the pattern ends in an asterisk.
+// Matches reports whether a value matches a pattern: it is equal, or it has the pattern's
+// prefix if the pattern ends in an asterisk.
 func Matches(pattern, value string) bool {
 	return matches(pattern, value)
 }
--- a/jayrule/rule_test.go
+++ b/jayrule/rule_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func at(clock string) time.Time {
+func timeOfDay(clock string) time.Time {
 	t, _ := time.Parse("15:04", clock)
 	return t
 }
@@ -29,9 +29,9 @@
 		{Subject{Kind: AboutRequest, Path: "/feesible", Method: "GET"}, ""},
 		{Subject{Kind: AboutRequest, Caller: "nursing", Header: func(string) string { return "2026-2" }}, "nursing"},
 		{Subject{Kind: AboutRequest, Caller: "nursing", Header: func(string) string { return "2025-2" }}, ""},
-		{Subject{Kind: AboutWave, Time: at("23:30")}, "night"},
-		{Subject{Kind: AboutWave, Time: at("04:59")}, "night"},
-		{Subject{Kind: AboutWave, Time: at("05:00")}, ""},
+		{Subject{Kind: AboutWave, Time: timeOfDay("23:30")}, "night"},
+		{Subject{Kind: AboutWave, Time: timeOfDay("04:59")}, "night"},
+		{Subject{Kind: AboutWave, Time: timeOfDay("05:00")}, ""},
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%s %s %s", c.subject.Method, c.subject.Path, c.want), func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestRequestAsksAboutItsPool(t *testing.T) {
+func TestRequestRulePoolState(t *testing.T) {
 	is := is.New(t)
 	list := List{
 		{Name: "browseNot", About: AboutRequest, When: When{Path: []string{"/catalogue/*"}, Pool: []string{"seats"}, PoolState: []string{"broken"}}, Then: Then{Refuse: "later"}},
@@ -81,11 +81,11 @@
 	is.Equal(by, "all fees")
 	_, shadowed = list.Shadowed(2)
 	is.True(!shadowed)
-	_, shadowed = list.Shadowed(3) // another kind
+	_, shadowed = list.Shadowed(3) // a different kind
 	is.True(!shadowed)
 }
 
-func TestActionMustFitItsKind(t *testing.T) {
+func TestActionKindMismatch(t *testing.T) {
 	cases := map[string]Rule{
 		"route and refuse": {About: AboutRequest, Then: Then{Route: "a", Refuse: "b"}},
 		"neither":          {About: AboutRequest},
