--- a/jayjob/learn.go
+++ b/jayjob/learn.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// learnAfter is how many reports outweigh a declaration.
-	learnAfter = 2
-	// headroomPercent is kept on top of the largest use that was reported,
-	// since reports lag.
+	// minReports is the number of usage reports required to replace the declared size.
+	minReports = 2
+	// headroomPercent is the margin above the largest reported use, because reports lag
+	// behind the actual use.
 	headroomPercent = 20
 )
 
-// Usage is what one running task was last reported to use.
+// Usage is the last reported resource usage of a running task.
 type Usage struct {
 	ProcessorsMilli int64
 	MemoryMegabytes int64
 }
 
-// Learn returns the size to place tasks of a job with: the largest reported
-// use with headroom, or the declared size until enough is reported. Declared
-// accelerators stay, since they are allotted whole.
+// Learn returns the size to be used for placing tasks of a job: the largest reported use
+// with headroom, or the declared size while there are too few reports. Accelerators are
+// always as declared, because they are allocated whole.
 func Learn(declared jaypool.Resources, reports []Usage) jaypool.Resources {
-	if len(reports) < learnAfter {
+	if len(reports) < minReports {
 		return declared
 	}
 	processors := slices.MaxFunc(reports, func(a, b Usage) int { return int(a.ProcessorsMilli - b.ProcessorsMilli) })
--- a/jayjob/placement.go
+++ b/jayjob/placement.go
@@ -1,4 +1,5 @@
-// Package jayjob decides where the tasks of jobs run. It is pure.
+// Package jayjob decides where the tasks of jobs run. It has no state, no clock and no
+// I/O.
 package jayjob
 
 import (
@@ -14,33 +15,34 @@
 type Task struct {
 	Job     string
 	Replica int
-	// Instance is empty while the task is not placed.
+	// Instance is empty if the task is not placed.
 	Instance string
-	// Fence is the offset of the placement; a worker refuses a lower one.
+	// Fence is the offset of the placement. Workers reject lower fences.
 	Fence uint64
-	// FailedOn names the workers on which the task failed.
+	// FailedOn lists the workers on which the task has failed.
 	FailedOn []string
-	// Withdrawn says that the configuration no longer declares the task.
+	// Withdrawn reports that the configuration no longer declares the task.
 	Withdrawn bool
 }
 
-// Job is a job as placement sees it.
+// Job is the description of a job that placement uses.
 type Job struct {
 	Name     string
 	Pool     string
 	Team     string
 	Priority jayrule.Priority
-	// Need is the learned size, or the declared one until usage is known.
+	// Need is the size of one task, learned from usage or, before enough usage is
+	// reported, as declared.
 	Need jaypool.Resources
-	// DataCenters restricts placement; empty allows all.
+	// DataCenters is the list of permitted data centres; empty permits all.
 	DataCenters []string
-	// Displace lets the job take the room of jobs of lower priority.
+	// Displace allows the job to displace tasks of jobs with lower priority.
 	Displace bool
-	// Parked jobs start no task; those that run go on.
+	// Parked prevents new tasks of the job; running ones continue.
 	Parked bool
 }
 
-// Decision is one act of a placement round: Start, Stop or Park.
+// Decision is an action of a placement round: Start, Stop or Park.
 type Decision interface {
 	isDecision()
 }
@@ -51,13 +53,13 @@
 	Instance string
 }
 
-// Stop checkpoints and stops a task. Why is a word for the audit trail.
+// Stop checkpoints and stops a task. Why is recorded in the audit trail.
 type Stop struct {
 	Task Task
 	Why  string
 }
 
-// Park takes a job out of placement with a reason for its operator.
+// Park excludes a job from placement. Why is the reason shown to its operator.
 type Park struct {
 	Job string
 	Why string
@@ -67,25 +69,25 @@
 func (Stop) isDecision()  {}
 func (Park) isDecision()  {}
 
-// MaxTaskFailures parks a job: a task that failed on so many workers would
-// fail on the next one as well.
+// MaxTaskFailures is the number of workers on which a task must have failed for its job to
+// be parked: the task is then expected to fail on any other worker as well.
 const MaxTaskFailures = 3
 
-// View is what a placement round is based on.
+// View is the state that a placement round is based on.
 type View struct {
 	Fleet *jaypool.Fleet
 	Jobs  map[string]Job
-	// Tasks are in the order of job and replica.
+	// Tasks is sorted by job and replica.
 	Tasks  []Task
 	Quotas map[string]jaypool.Resources
 	Wave   string
 }
 
-// Place returns what to stop, start and park now. A placed task stays where
-// it is as long as its instance serves (stickiness).
+// Place returns the tasks to stop and start and the jobs to park now. A placed task stays
+// on its instance as long as the instance is available.
 func Place(v View) []Decision {
 	r := newRound(v)
-	r.stopUnserved()
+	r.stopUnservedTasks()
 	for _, t := range r.waiting() {
 		r.place(t)
 	}
@@ -93,12 +95,12 @@
 }
 
 type round struct {
-	view   View
-	free   map[string]jaypool.Resources
-	byPool map[string][]*jaypool.Instance
-	spread map[string]map[string]int
-	used   map[string]jaypool.Resources
-	// tasksOn holds the numbers of the tasks on each instance.
+	view       View
+	free       map[string]jaypool.Resources
+	byPool     map[string][]*jaypool.Instance
+	rackCounts map[string]map[string]int
+	usedByTeam map[string]jaypool.Resources
+	// tasksOn holds the indexes in view.Tasks of the tasks on each instance.
 	tasksOn   map[string][]int
 	stopped   map[int]bool
 	parked    map[string]bool
@@ -107,14 +109,14 @@
 
 func newRound(v View) *round {
 	r := &round{
-		view:    v,
-		free:    make(map[string]jaypool.Resources, len(v.Fleet.IDs())),
-		byPool:  map[string][]*jaypool.Instance{},
-		spread:  map[string]map[string]int{},
-		used:    map[string]jaypool.Resources{},
-		tasksOn: map[string][]int{},
-		stopped: map[int]bool{},
-		parked:  map[string]bool{},
+		view:       v,
+		free:       make(map[string]jaypool.Resources, len(v.Fleet.IDs())),
+		byPool:     map[string][]*jaypool.Instance{},
+		rackCounts: map[string]map[string]int{},
+		usedByTeam: map[string]jaypool.Resources{},
+		tasksOn:    map[string][]int{},
+		stopped:    map[int]bool{},
+		parked:     map[string]bool{},
 	}
 	for _, id := range v.Fleet.IDs() {
 		i, _ := v.Fleet.Instance(id)
@@ -125,38 +127,38 @@
 	}
 	for n, t := range v.Tasks {
 		if t.Instance != "" {
-			r.occupy(t, t.Instance)
+			r.allocate(t, t.Instance)
 			r.tasksOn[t.Instance] = append(r.tasksOn[t.Instance], n)
 		}
 	}
 	return r
 }
 
-func (r *round) occupy(t Task, instance string) {
+func (r *round) allocate(t Task, instance string) {
 	j := r.view.Jobs[t.Job]
 	if free, ok := r.free[instance]; ok {
 		r.free[instance] = free.Sub(j.Need)
 	}
-	r.used[j.Team] = r.used[j.Team].Add(j.Need)
-	if r.spread[t.Job] == nil {
-		r.spread[t.Job] = map[string]int{}
+	r.usedByTeam[j.Team] = r.usedByTeam[j.Team].Add(j.Need)
+	if r.rackCounts[t.Job] == nil {
+		r.rackCounts[t.Job] = map[string]int{}
 	}
 	if i, ok := r.view.Fleet.Instance(instance); ok {
-		r.spread[t.Job][i.Domain(jaypool.RackDomain)]++
+		r.rackCounts[t.Job][i.Domain(jaypool.RackDomain)]++
 	}
 }
 
-func (r *round) vacate(t Task) {
+func (r *round) release(t Task) {
 	j := r.view.Jobs[t.Job]
 	if free, ok := r.free[t.Instance]; ok {
 		r.free[t.Instance] = free.Add(j.Need)
 	}
-	r.used[j.Team] = r.used[j.Team].Sub(j.Need)
+	r.usedByTeam[j.Team] = r.usedByTeam[j.Team].Sub(j.Need)
 }
 
-// stopUnserved stops the tasks of instances that do not serve any more and
-// of jobs that were withdrawn.
-func (r *round) stopUnserved() {
+// stopUnservedTasks stops the tasks on instances that are no longer available, and
+// withdrawn tasks.
+func (r *round) stopUnservedTasks() {
 	for n, t := range r.view.Tasks {
 		if t.Instance == "" {
 			continue
@@ -175,11 +177,11 @@
 func (r *round) stop(n int, why string) {
 	t := r.view.Tasks[n]
 	r.stopped[n] = true
-	r.vacate(t)
+	r.release(t)
 	r.decisions = append(r.decisions, Stop{Task: t, Why: why})
 }
 
-// waiting returns the tasks without a place, urgent ones first.
+// waiting returns the tasks that are not placed, by descending priority.
 func (r *round) waiting() []Task {
 	var tasks []Task
 	for _, t := range r.view.Tasks {
@@ -203,24 +205,24 @@
 		return
 	}
 	quota, limited := r.view.Quotas[j.Team]
-	if limited && !quota.Sub(r.used[j.Team]).Fits(j.Need) {
+	if limited && !quota.Sub(r.usedByTeam[j.Team]).Fits(j.Need) {
 		if !quota.Fits(j.Need) {
 			r.park(j.Name, fmt.Sprintf("one task is larger than the whole quota of team %s", j.Team))
 		}
 		return
 	}
-	target := r.best(j, t.FailedOn)
+	target := r.bestInstance(j, t.FailedOn)
 	if target == nil && j.Displace && r.displaceFor(j, t.FailedOn) {
-		// The place is free only once the displaced tasks have stopped.
+		// The capacity becomes available only when the displaced tasks have stopped.
 		return
 	}
 	if target == nil {
-		if why := r.neverFits(j); why != "" {
+		if why := r.permanentMisfit(j); why != "" {
 			r.park(j.Name, why)
 		}
 		return
 	}
-	r.occupy(t, target.ID)
+	r.allocate(t, target.ID)
 	r.decisions = append(r.decisions, Start{Task: t, Instance: target.ID})
 }
 
@@ -229,9 +231,10 @@
 	r.decisions = append(r.decisions, Park{Job: job, Why: why})
 }
 
-// best returns the instance with room that was maintained already, whose rack
-// holds the fewest tasks of the job, and that has the most room left.
-func (r *round) best(j Job, avoid []string) *jaypool.Instance {
+// bestInstance returns the best instance with enough free capacity: instances already
+// maintained in the current wave come first, then those in the rack with the fewest tasks
+// of the job, then those with the most free memory.
+func (r *round) bestInstance(j Job, avoid []string) *jaypool.Instance {
 	var best *jaypool.Instance
 	for _, i := range r.byPool[j.Pool] {
 		if !allowed(j, i) || slices.Contains(avoid, i.ID) || !r.free[i.ID].Fits(j.Need) {
@@ -249,16 +252,16 @@
 	if maintainedA != maintainedB {
 		return maintainedA
 	}
-	spreadA := r.spread[j.Name][a.Domain(jaypool.RackDomain)]
-	spreadB := r.spread[j.Name][b.Domain(jaypool.RackDomain)]
+	spreadA := r.rackCounts[j.Name][a.Domain(jaypool.RackDomain)]
+	spreadB := r.rackCounts[j.Name][b.Domain(jaypool.RackDomain)]
 	if spreadA != spreadB {
 		return spreadA < spreadB
 	}
 	return r.free[a.ID].MemoryMegabytes > r.free[b.ID].MemoryMegabytes
 }
 
-// maintained reports whether the running wave has passed the instance, so
-// that a task placed there will not move again in this wave.
+// maintained reports whether the current wave has already maintained the instance, so that
+// a task placed on it need not move again in this wave.
 func (r *round) maintained(i *jaypool.Instance) bool {
 	return r.view.Wave != "" && i.MaintainedIn == r.view.Wave
 }
@@ -267,10 +270,10 @@
 	return len(j.DataCenters) == 0 || slices.Contains(j.DataCenters, i.DataCenter)
 }
 
-// displaceFor stops as few tasks of lower priority as make room on one
-// instance, the lowest priority first. Until they have stopped, each round
-// comes to the same choice, since nothing else has changed. It reports whether
-// room will come.
+// displaceFor stops the fewest tasks of lower priority that free enough capacity on one
+// instance, those of the lowest priority first. The choice is the same in each round until
+// they have stopped, because nothing else has changed. It returns false if no instance has
+// enough such tasks.
 func (r *round) displaceFor(j Job, avoid []string) bool {
 	var best *jaypool.Instance
 	var victims []int
@@ -319,9 +322,9 @@
 	return victims, room.Fits(j.Need)
 }
 
-// neverFits says why no instance could ever hold a task of the job, or
-// returns "" if it only has to wait.
-func (r *round) neverFits(j Job) string {
+// permanentMisfit returns the reason why no instance can ever hold a task of the job, or
+// an empty string if the task only has to wait.
+func (r *round) permanentMisfit(j Job) string {
 	members := 0
 	for _, id := range r.view.Fleet.IDs() {
 		i, _ := r.view.Fleet.Instance(id)
--- a/jayjob/placement_test.go
+++ b/jayjob/placement_test.go
@@ -11,7 +11,7 @@
 	"jaythread/jayrule"
 )
 
-// newView returns a view of six workers in three racks and one job.
+// newView returns a view of six workers in three racks, one job and the given tasks.
 func newView(tasks ...Task) View {
 	f := jaypool.NewFleet()
 	for n := range 6 {
@@ -28,7 +28,7 @@
 	}
 }
 
-// starts returns where each task of the decisions starts.
+// starts returns the instance on which each task is started.
 func starts(decisions []Decision) map[string]string {
 	at := map[string]string{}
 	for _, d := range decisions {
@@ -58,7 +58,7 @@
 	return ""
 }
 
-func (v View) job(name string, change func(*Job)) View {
+func (v View) withJob(name string, change func(*Job)) View {
 	j := v.Jobs["a"]
 	j.Name = name
 	change(&j)
@@ -96,7 +96,7 @@
 		is.New(t).Equal(starts(Place(v))["a0"], "w5")
 	})
 	t.Run("keeps to the data centres of its rule", func(t *testing.T) {
-		v := newView(Task{Job: "a"}).job("a", func(j *Job) { j.DataCenters = []string{"dc1"} })
+		v := newView(Task{Job: "a"}).withJob("a", func(j *Job) { j.DataCenters = []string{"dc1"} })
 		is.New(t).True(strings.Contains("w3 w4 w5", starts(Place(v))["a0"]))
 	})
 	t.Run("avoids where it failed", func(t *testing.T) {
@@ -121,7 +121,7 @@
 		view View
 		want string
 	}{
-		{"larger than any instance", newView(Task{Job: "a"}).job("a", func(j *Job) { j.Need.MemoryMegabytes = 2000 }), "large enough"},
+		{"larger than any instance", newView(Task{Job: "a"}).withJob("a", func(j *Job) { j.Need.MemoryMegabytes = 2000 }), "large enough"},
 		{"failed on several workers", newView(Task{Job: "a", FailedOn: []string{"w0", "w1", "w2"}}), "failed on"},
 		{"larger than the quota", withQuota(newView(Task{Job: "a"}), 500), "whole quota"},
 	}
@@ -134,7 +134,7 @@
 		})
 	}
 	t.Run("a parked job keeps what runs and starts nothing", func(t *testing.T) {
-		v := newView(Task{Job: "a", Instance: "w1"}, Task{Job: "a", Replica: 1}).job("a", func(j *Job) { j.Parked = true })
+		v := newView(Task{Job: "a", Instance: "w1"}, Task{Job: "a", Replica: 1}).withJob("a", func(j *Job) { j.Parked = true })
 		is.New(t).Equal(len(Place(v)), 0)
 	})
 }
@@ -144,7 +144,7 @@
 	return v
 }
 
-func TestQuotaBoundsATeam(t *testing.T) {
+func TestTeamQuota(t *testing.T) {
 	v := withQuota(newView(Task{Job: "a"}, Task{Job: "a", Replica: 1}, Task{Job: "a", Replica: 2}), 2000)
 	is.New(t).Equal(len(starts(Place(v))), 2)
 }
@@ -156,8 +156,8 @@
 			tasks = append(tasks, Task{Job: "a", Replica: n, Instance: fmt.Sprint("w", n)})
 		}
 		v := newView(append(tasks, Task{Job: "urgent"})...)
-		v = v.job("a", func(j *Job) { j.Need.ProcessorsMilli = 8000 })
-		return v.job("urgent", func(j *Job) { j.Priority, j.Displace = jayrule.Urgent, displace })
+		v = v.withJob("a", func(j *Job) { j.Need.ProcessorsMilli = 8000 })
+		return v.withJob("urgent", func(j *Job) { j.Priority, j.Displace = jayrule.Urgent, displace })
 	}
 	t.Run("stops one task of lower priority, and starts once it has stopped", func(t *testing.T) {
 		is := is.New(t)
@@ -165,7 +165,7 @@
 		decisions := Place(v)
 		is.Equal(stops(decisions), []string{"a0 displaced by urgent"})
 		is.Equal(len(starts(decisions)), 0)
-		is.Equal(stops(Place(v)), stops(decisions)) // each round the same until then
+		is.Equal(stops(Place(v)), stops(decisions)) // the same in each round until then
 		v.Tasks[0].Instance = ""
 		is.Equal(starts(Place(v)), map[string]string{"urgent0": "w0"})
 	})
@@ -173,7 +173,7 @@
 		is.New(t).Equal(len(Place(full(false))), 0)
 	})
 	t.Run("never one of the same priority", func(t *testing.T) {
-		v := full(true).job("a", func(j *Job) { j.Priority, j.Need.ProcessorsMilli = jayrule.Urgent, 8000 })
+		v := full(true).withJob("a", func(j *Job) { j.Priority, j.Need.ProcessorsMilli = jayrule.Urgent, 8000 })
 		is.New(t).Equal(len(Place(v)), 0)
 	})
 }
@@ -186,8 +186,8 @@
 	is.Equal(learned, jaypool.Resources{ProcessorsMilli: 1200, MemoryMegabytes: 2400, Accelerators: 1})
 }
 
-// BenchmarkCapacityPlace is the time of a placement round by fleet size, with
-// two tasks for each worker, all in place.
+// BenchmarkCapacityPlace measures a placement round by fleet size, with two placed tasks
+// for each worker.
 func BenchmarkCapacityPlace(b *testing.B) {
 	for _, workers := range []int{50, 500, 5600} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
