--- a/jayfleet/fleet_test.go
+++ b/jayfleet/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestHostsFollowDemand(t *testing.T) {
-	t.Run("from standby, and back when idle", func(t *testing.T) {
+	t.Run("from standby and back when idle", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 2, "fees": 1, "standby": 6})
 		w.wanted["seats"] = 5 * hostMilli
@@ -30,7 +30,7 @@
 		is.Equal(w.hostsUp("seats"), 7)
 		is.Equal(w.hostsUp("fees"), 1)
 	})
-	t.Run("after a rush at once, but for what chance may need", func(t *testing.T) {
+	t.Run("surplus hosts go to standby soon after a burst", func(t *testing.T) {
 		// Guards against idle hosts after a burst: a third of the hosts was idle because
 		// each host that became empty was kept as long as one that may be needed again.
 		is := is.New(t)
@@ -45,7 +45,7 @@
 		w.steps(3 * time.Second)
 		is.Equal(w.hostsUp("seats"), 6)
 	})
-	t.Run("not at once while few are on standby", func(t *testing.T) {
+	t.Run("surplus hosts are kept while few hosts are on standby", func(t *testing.T) {
 		// Guards against a burst that gets its hosts three seconds late: after a restart
 		// of all entries, a pool's unneeded hosts were moved to standby just before
 		// another pool's burst began, and a host can be moved again only after it has
@@ -69,7 +69,7 @@
 		w.steps(3 * time.Second)
 		is.Equal(w.hostsUp("fees"), 3)
 	})
-	t.Run("what the former owner has just acted on is left alone", func(t *testing.T) {
+	t.Run("hosts with recent commands of the previous owner are held", func(t *testing.T) {
 		// Guards against two owners acting on one instance in turns: the next owner did
 		// not know of the lost owner's command and moved the instance again immediately.
 		is := is.New(t)
@@ -82,7 +82,7 @@
 		w.steps(time.Second)
 		is.Equal(len(w.moves), 3)
 	})
-	t.Run("a command that was decided too long ago is decided anew", func(t *testing.T) {
+	t.Run("a stale command is decided again", func(t *testing.T) {
 		// Guards against a move that ends newly started tasks: the owner is paused between
 		// the decision and the command, and meanwhile the pool reopens the host and starts
 		// tasks there.
@@ -103,7 +103,7 @@
 		w.steps(2 * time.Second)
 		is.Equal(w.hostsUp("seats"), 2)
 	})
-	t.Run("a command without an answer is asked for again, not another one", func(t *testing.T) {
+	t.Run("a command without an answer is repeated for the same host", func(t *testing.T) {
 		// Guards against a pool that gets twice the hosts that it needs: the answer to a
 		// move is lost, the move is taken for failed, and another host is moved.
 		is := is.New(t)
--- a/jayfleet/guard_test.go
+++ b/jayfleet/guard_test.go
@@ -41,33 +41,33 @@
 		return max(0, g.HeldUntil(command, takeover)-takeover.Clock)
 	}
 	checked, unchecked := Guard{FencesChecked: true}, Guard{}
-	t.Run("what was just acted on is held", func(t *testing.T) {
+	t.Run("a host with a recent command is held", func(t *testing.T) {
 		is := is.New(t)
 		is.Equal(heldFor(checked, RecordedCommand{}, time.Second, time.Minute), 3*time.Second)
 		is.Equal(heldFor(unchecked, RecordedCommand{}, time.Second, time.Minute), 3*time.Second)
 	})
-	t.Run("also if clocks differ", func(t *testing.T) {
+	t.Run("wall clocks may differ", func(t *testing.T) {
 		is.New(t).Equal(heldFor(unchecked, RecordedCommand{}, 7*time.Second, time.Minute), 3*time.Second)
 	})
-	t.Run("not for ever", func(t *testing.T) {
+	t.Run("an old command holds nothing", func(t *testing.T) {
 		is := is.New(t)
 		is.Equal(heldFor(checked, RecordedCommand{}, 9*time.Second, time.Minute), time.Duration(0))
 		is.Equal(heldFor(unchecked, RecordedCommand{}, 9*time.Second, time.Minute), time.Duration(0))
 	})
-	t.Run("as long as needed where the actor's clock is known", func(t *testing.T) {
+	t.Run("a known clock shortens the hold", func(t *testing.T) {
 		// Guards against a takeover in a burst that blocks two thirds of the fleet for
 		// three seconds: wall clocks may differ by seconds, so that each host with a
 		// command in the last eight seconds was held from the takeover on.
 		command := RecordedCommand{DecidedBy: takeover.Clock - 2*time.Second, ClockKnown: true}
 		is.New(t).Equal(heldFor(unchecked, command, time.Minute, time.Minute), time.Second)
 	})
-	t.Run("where fences are checked, not what was acted on before this entry began", func(t *testing.T) {
+	t.Run("with fence checks a command older than the process holds nothing", func(t *testing.T) {
 		// Guards against a pool that gets no host for three seconds after a power failure
 		// of all entries: the new owner held all hosts that were moved just before,
 		// although the previous owner had ended with all other entries.
 		is.New(t).Equal(heldFor(checked, RecordedCommand{}, 2*time.Second, time.Second), time.Duration(0))
 	})
-	t.Run("where they are not, also that, unless its process has ended", func(t *testing.T) {
+	t.Run("without fence checks it holds the host unless its sender has ended", func(t *testing.T) {
 		// Guards against a move with a lower fence after one with a higher fence: a
 		// partitioned owner is replaced by an entry that was started a second ago, and a
 		// command older than the new process was taken for one of an owner that had ended.
--- a/jayfleet/share_test.go
+++ b/jayfleet/share_test.go
@@ -18,9 +18,9 @@
 		})
 	}
 	shares("enough for all", []int{10, 10}, []int{4, 9}, []int{4, 9})
-	shares("all the same where all need more", []int{30, 2, 1}, []int{50, 70, 90}, []int{11, 11, 11})
-	shares("none more than it needs", []int{30, 2, 1}, []int{50, 3, 90}, []int{15, 3, 15})
-	shares("none", nil, nil, []int{})
+	shares("equal shares if all need more", []int{30, 2, 1}, []int{50, 70, 90}, []int{11, 11, 11})
+	shares("no more than needed", []int{30, 2, 1}, []int{50, 3, 90}, []int{15, 3, 15})
+	shares("no pools", nil, nil, []int{})
 }
 
 // scarce returns a world without hosts on standby, in which seats and fees together need
@@ -41,7 +41,7 @@
 	// burst came first holds nearly all hosts and can use them all the time, and a pool
 	// gave up only hosts that it could not use.
 	const wait = shareDelayMoves * 1500 * time.Millisecond
-	t.Run("after a while", func(t *testing.T) {
+	t.Run("after a delay", func(t *testing.T) {
 		is := is.New(t)
 		w := scarce(t, 20, 2)
 		w.steps(wait)
@@ -50,24 +50,24 @@
 		is.True(w.hostsUp("fees") >= 9)
 		is.True(w.hostsUp("seats") >= 10)
 	})
-	t.Run("not for jobs that are of no use any more", func(t *testing.T) {
+	t.Run("not for expired jobs", func(t *testing.T) {
 		w := scarce(t, 20, 2)
 		w.expired["fees"] = 40 * hostMilli
 		w.steps(2 * wait)
 		is.New(t).Equal(len(w.moves), 0)
 	})
-	t.Run("not for a pool that has half of its share", func(t *testing.T) {
+	t.Run("not for a pool with half of its share", func(t *testing.T) {
 		w := scarce(t, 16, 6)
 		w.steps(2 * wait)
 		is.New(t).Equal(len(w.moves), 0)
 	})
-	t.Run("not hosts that are busy for long", func(t *testing.T) {
+	t.Run("not hosts that take long to empty", func(t *testing.T) {
 		w := scarce(t, 20, 2)
 		w.drainTime = 4 * time.Second
 		w.steps(2 * wait)
 		is.New(t).Equal(len(w.moves), 0)
 	})
-	t.Run("a host that does not become empty in time stays", func(t *testing.T) {
+	t.Run("a host that is not empty in time stays in its pool", func(t *testing.T) {
 		is := is.New(t)
 		w := scarce(t, 20, 2)
 		w.steps(wait + time.Second)
--- a/jayfleet/thresholds_test.go
+++ b/jayfleet/thresholds_test.go
@@ -54,27 +54,27 @@
 	minIdleTime(5, true, 1200*time.Millisecond) // 0.8 of the move time
 	minIdleTime(4, true, 200*time.Millisecond)  // beyond keep
 	minIdleTime(4, false, 1200*time.Millisecond)
-	t.Run("a fifth of all must be off", func(t *testing.T) {
+	t.Run("a fifth of all hosts must be on standby", func(t *testing.T) {
 		is := is.New(t)
 		is.True(listed(79, 21).enoughStandby(21, time.Minute))
 		is.True(!listed(81, 19).enoughStandby(19, time.Minute))
 	})
-	checkThreshold(t, "for 3 s after a takeover none counts", 3*time.Second, func(after time.Duration) bool {
+	checkThreshold(t, "surplus hosts are kept for 3 s after a takeover", 3*time.Second, func(after time.Duration) bool {
 		f := listed(50, 50)
 		f.decidingSince = time.Minute
 		return f.enoughStandby(50, time.Minute+after)
 	})
-	checkThreshold(t, "a host that is empty within 0.825 s can be taken", 825*time.Millisecond, func(emptyIn time.Duration) bool {
+	checkThreshold(t, "a host that becomes empty within 0.825 s can be reclaimed", 825*time.Millisecond, func(emptyIn time.Duration) bool {
 		f := listed(1, 0)
 		s := f.poolBalance("seats", Demand{Loads: map[string]Load{"w0": {Runs: 1, EmptyIn: emptyIn}}}, time.Minute)
 		return len(s.soonEmpty) == 1
 	})
-	checkThreshold(t, "within 3 s it can be shared", 3*time.Second, func(emptyIn time.Duration) bool {
+	checkThreshold(t, "a host that becomes empty within 3 s can be shared", 3*time.Second, func(emptyIn time.Duration) bool {
 		f := listed(1, 0)
 		s := f.poolBalance("seats", Demand{Loads: map[string]Load{"w0": {Runs: 1, EmptyIn: emptyIn}}}, time.Minute)
 		return len(s.laterEmpty) == 1
 	})
-	checkThreshold(t, "a pool's word counts for a second", time.Second, func(age time.Duration) bool {
+	checkThreshold(t, "a demand is valid for 1 s", time.Second, func(age time.Duration) bool {
 		f := listed(1, 0)
 		f.Demanded("seats", Demand{At: time.Minute})
 		return len(f.balances(time.Minute+age)) == 1
@@ -97,12 +97,12 @@
 	checkThreshold(t, "a pool lacks hosts after 4.5 s", 4500*time.Millisecond, func(after time.Duration) bool {
 		return isShort(1, after)
 	})
-	t.Run("with less than half of its share", func(t *testing.T) {
+	t.Run("a pool lacks hosts with less than half of its share", func(t *testing.T) {
 		is := is.New(t)
 		is.True(isShort(9, time.Minute))
 		is.True(!isShort(10, time.Minute))
 	})
-	t.Run("it gets nine tenths of it, and nobody is left with less than that", func(t *testing.T) {
+	t.Run("pools end up within a tenth of their shares", func(t *testing.T) {
 		is := is.New(t)
 		w := scarce(t, 40, 0)
 		w.steps(20 * time.Second)
@@ -116,17 +116,17 @@
 		f := listed(1, 0)
 		return f.late(&wave{Wave: jayport.Wave{Within: time.Minute, MaxAtOnce: 4}}, left, time.Minute-remaining)
 	}
-	checkThreshold(t, "a wave is late with 1.5 rounds and 3 s left", 8250*time.Millisecond, func(remaining time.Duration) bool {
+	checkThreshold(t, "a wave of one round is late with 1.5 rounds and 3 s left", 8250*time.Millisecond, func(remaining time.Duration) bool {
 		return late(4, remaining)
 	})
-	checkThreshold(t, "or three of them, for two rounds", 13500*time.Millisecond, func(remaining time.Duration) bool {
+	checkThreshold(t, "a wave of two rounds is late with 3 rounds and 3 s left", 13500*time.Millisecond, func(remaining time.Duration) bool {
 		return late(8, remaining)
 	})
-	checkThreshold(t, "a wave keeps a pace that ends at 0.6 of its time", 36*time.Second, func(after time.Duration) bool {
+	checkThreshold(t, "the pace of a wave is planned for 0.6 of its time", 36*time.Second, func(after time.Duration) bool {
 		w := &wave{Wave: jayport.Wave{Within: time.Minute, MaxAtOnce: 400}}
 		return w.atOnce(4, 3500*time.Millisecond, after) < 400
 	})
-	t.Run("half of a pool stays open", func(t *testing.T) {
+	t.Run("half of a pool's hosts stay open", func(t *testing.T) {
 		is := is.New(t)
 		f := listed(10, 0)
 		for n := range 5 {
@@ -135,13 +135,13 @@
 		}
 		is.True(!f.mayClose("seats"))
 	})
-	t.Run("a long-running task is as dear as four cores", func(t *testing.T) {
+	t.Run("a long-running task costs as much as four cores", func(t *testing.T) {
 		is := is.New(t)
 		f := listed(1, 0)
 		f.Demanded("seats", Demand{Loads: map[string]Load{"w0": {UsedMilli: 500, LongRuns: 2}}})
 		is.Equal(f.cost(f.sorted[0]), int64(8500))
 	})
-	t.Run("a round is 1.5 s longer than the maintenance", func(t *testing.T) {
+	t.Run("a round takes 1.5 s more than the maintenance", func(t *testing.T) {
 		is.New(t).Equal(listed(1, 0).roundTime(), 3500*time.Millisecond)
 	})
 	checkThreshold(t, "a command without an answer is repeated after 0.3 s", 300*time.Millisecond, func(after time.Duration) bool {
@@ -162,12 +162,12 @@
 	is.Equal(unchecked.HoldTime(), 1700*time.Millisecond) // covers a command sent at the last permitted moment
 	is.Equal(checked.RecordTimeout(), 150*time.Millisecond)
 	is.Equal(unchecked.RecordTimeout(), time.Second)
-	checkThreshold(t, "a command that is older than a second is not sent", time.Second, func(age time.Duration) bool {
+	checkThreshold(t, "a command older than 1 s is not sent", time.Second, func(age time.Duration) bool {
 		return unchecked.MaySend(Recorded, age)
 	})
-	checkThreshold(t, "nothing is decided while a record waits for a second", time.Second, unchecked.MayDecide)
+	checkThreshold(t, "no command is decided once a record has been pending for 1 s", time.Second, unchecked.MayDecide)
 	day := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	checkThreshold(t, "a command by an unknown clock holds its host for 8 s", 8*time.Second, func(age time.Duration) bool {
+	checkThreshold(t, "a command by an unknown clock holds its host for up to 8 s", 8*time.Second, func(age time.Duration) bool {
 		command := RecordedCommand{At: day.Add(-age)}
 		return checked.HeldUntil(command, Takeover{Clock: time.Hour, Day: day, Started: day.Add(-time.Hour)}) > 0
 	})
--- a/jayfleet/waves_test.go
+++ b/jayfleet/waves_test.go
@@ -13,7 +13,7 @@
 	wave := func(hosts []string, within time.Duration, atOnce int) jayport.Wave {
 		return jayport.Wave{Name: "1", Hosts: hosts, Within: within, MaxAtOnce: atOnce}
 	}
-	t.Run("all hosts are maintained, not too many at once", func(t *testing.T) {
+	t.Run("all hosts are maintained within the concurrency limit", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 4, "fees": 4, "standby": 4})
 		w.wanted["seats"], w.wanted["fees"] = 2*hostMilli, 2*hostMilli
@@ -23,7 +23,7 @@
 		is.Equal(len(w.fleet.waves["1"].maintained), 12)
 		is.True(w.maxDown <= 3)
 	})
-	t.Run("what a former owner recorded is not done again", func(t *testing.T) {
+	t.Run("hosts recorded as maintained are skipped", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 2})
 		w.wanted["seats"] = 2 * hostMilli
@@ -39,14 +39,14 @@
 		is.Equal(maintained, map[string]bool{"m1": true})
 		is.True(w.fleet.waves["1"].done)
 	})
-	t.Run("a host that left for good holds nothing up", func(t *testing.T) {
+	t.Run("a removed host does not delay the wave", func(t *testing.T) {
 		w := newWorld(t, map[string]int{"seats": 2})
 		w.wanted["seats"] = 2 * hostMilli
 		w.fleet.Declared(wave(append(w.names, "gone"), 30*time.Second, 2), w.now, nil, false)
 		w.steps(8 * time.Second)
 		is.New(t).True(w.fleet.waves["1"].done)
 	})
-	t.Run("hosts that are emptied are replaced", func(t *testing.T) {
+	t.Run("hosts being emptied are replaced", func(t *testing.T) {
 		// Guards against a long-running task without a host for half a minute: all hosts
 		// of a pool were emptied for a wave at once, because a host that is being emptied
 		// counted as serving.
@@ -61,7 +61,7 @@
 		w.steps(3 * time.Second)
 		is.True(w.hostsUp("seats") > 2)
 	})
-	t.Run("hosts that are emptied are replaced for tasks that may not share one", func(t *testing.T) {
+	t.Run("hosts being emptied are replaced for a minimum number of hosts", func(t *testing.T) {
 		// Guards against a failed long-running task that waits ten seconds in a nearly
 		// idle pool: a step runs one task per host, a wave closes half of the hosts, and
 		// no open host is without a task of the step. The required hosts were computed
@@ -78,7 +78,7 @@
 		is.True(closed > 0)
 		is.True(w.hostsUp("seats")-closed >= 12)
 	})
-	t.Run("a wave leaves hosts to a rush", func(t *testing.T) {
+	t.Run("a wave does not take hosts needed by a burst", func(t *testing.T) {
 		// Guards against a wave that delays jobs in a burst: it took the maximum number of
 		// hosts immediately, a fifth of the fleet, first the hosts on standby that the
 		// burst needed and then busy ones.
@@ -98,7 +98,7 @@
 		w.steps(22 * time.Second)
 		is.Equal(len(w.fleet.waves["1"].maintained), 16)
 	})
-	t.Run("half of a pool stays open while nothing can be emptied", func(t *testing.T) {
+	t.Run("half of a pool's hosts stay open if no host can be emptied", func(t *testing.T) {
 		// Guards against a pool with two of its seven hosts open for half a minute: all
 		// hosts of all pools are in use, a wave closed five hosts of the pool, and their
 		// long-running tasks have no other host to move to.
@@ -114,7 +114,7 @@
 		w.steps(20 * time.Second)
 		is.Equal(len(w.fleet.Vacating("seats")), 7) // the wave is late
 	})
-	t.Run("hosts with long runs are emptied from the start", func(t *testing.T) {
+	t.Run("hosts with long runs are vacated from the start", func(t *testing.T) {
 		// Guards against a wave that misses its deadline: hosts on standby were maintained
 		// first and used up the wave's pace, then all hosts with long runs were emptied
 		// together. Few tasks of a step may be interrupted at once, so that its hosts are
--- a/jayjob/placement_test.go
+++ b/jayjob/placement_test.go
@@ -79,16 +79,16 @@
 		is.Equal(len(at), 3)
 		is.Equal(len(racks), 3)
 	})
-	t.Run("stays where it serves", func(t *testing.T) {
+	t.Run("stays on an available instance", func(t *testing.T) {
 		is.New(t).Equal(len(Place(newView(Task{Job: "a", Instance: "w3"}))), 0)
 	})
-	t.Run("leaves an instance that drains", func(t *testing.T) {
+	t.Run("leaves a draining instance", func(t *testing.T) {
 		is := is.New(t)
 		v := newView(Task{Job: "a", Instance: "w3"})
 		is.NoErr(v.Fleet.BeginDrain("w3", 1, jaypool.Budget{}))
 		is.Equal(stops(Place(v)), []string{"a0 moved"})
 	})
-	t.Run("prefers an instance that the wave has passed", func(t *testing.T) {
+	t.Run("prefers an instance that the wave has maintained", func(t *testing.T) {
 		v := newView(Task{Job: "a"})
 		v.Wave = "w"
 		i, _ := v.Fleet.Instance("w5")
@@ -99,7 +99,7 @@
 		v := newView(Task{Job: "a"}).withJob("a", func(j *Job) { j.DataCenters = []string{"dc1"} })
 		is.New(t).True(strings.Contains("w3 w4 w5", starts(Place(v))["a0"]))
 	})
-	t.Run("avoids where it failed", func(t *testing.T) {
+	t.Run("avoids workers on which it failed", func(t *testing.T) {
 		v := newView(Task{Job: "a", FailedOn: []string{"w0", "w1"}})
 		is.New(t).True(!strings.Contains("w0 w1", starts(Place(v))["a0"]))
 	})
--- a/jaypool/fleet_test.go
+++ b/jaypool/fleet_test.go
@@ -32,20 +32,20 @@
 		is.Equal(s, Standing{Members: 6, Available: 6, WorstLoss: 2, MinAvailable: 3})
 		is.Equal(s.Slack(), 1)
 	})
-	t.Run("a step is refused when the worst rack's loss would break it", func(t *testing.T) {
+	t.Run("a step is rejected if the loss of the worst rack would break the budget", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet(t)
 		is.NoErr(f.BeginDrain("w0", 1, budget))
 		err := f.BeginDrain("w2", 1, budget)
 		is.True(errors.Is(err, ErrBudget))
 	})
-	t.Run("a data centre counts as a whole where the budget asks for it", func(t *testing.T) {
+	t.Run("the failure domain is a data centre if the budget requires it", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet(t)
 		s := f.Pool("seats").Standing(Budget{MinAvailable: 3, Survive: DataCenterDomain})
 		is.Equal(s.WorstLoss, 6)
 	})
-	t.Run("quarantine counts against it", func(t *testing.T) {
+	t.Run("quarantine counts against the budget", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet(t)
 		is.NoErr(f.SetQuarantined("w0", true, 1, budget))
