--- a/jaynode/codec.go
+++ b/jaynode/codec.go
@@ -11,7 +11,7 @@
 	"jaythread/jaywire"
 )
 
-// encodeJob writes a declaration as it is kept in the store.
+// encodeJob encodes a job as the declaration that is kept in the store.
 func encodeJob(j *jayspec.Job) ([]byte, error) {
 	record := &jaywire.JobDeclaration{
 		Queue:              j.Queue,
@@ -62,11 +62,11 @@
 	return record
 }
 
-// decodeJob reads a declaration from the store.
+// decodeJob decodes a job's declaration from the store and validates it.
 func decodeJob(pool, id string, value []byte) (*jayspec.Job, error) {
 	record := &jaywire.JobDeclaration{}
 	if err := proto.Unmarshal(value, record); err != nil {
-		return nil, fmt.Errorf("declaration of %s: %w", id, err)
+		return nil, fmt.Errorf("decode declaration of job %s: %w", id, err)
 	}
 	job := &jayspec.Job{
 		ID:       id,
@@ -93,8 +93,9 @@
 		job.Steps = append(job.Steps, decodeStep(s))
 	}
 	if err := job.Check(); err != nil {
-		// Whatever wrote it, this program did not.
-		return nil, fmt.Errorf("declaration of %s: %w", id, err)
+		// Declarations are validated before they are stored, so another program wrote
+		// this one.
+		return nil, fmt.Errorf("decode declaration of job %s: %w", id, err)
 	}
 	return job, nil
 }
--- a/jaynode/codec_test.go
+++ b/jaynode/codec_test.go
@@ -9,11 +9,10 @@
 	"jaythread/jaywire"
 )
 
-func TestStoredJobsAreChecked(t *testing.T) {
-	// Symptom: an owner ends while it takes a pool over, and each next one too.
-	// Sequence: a record asks for four thousand million tasks, or has a step that
-	// waits for one that does not exist.
-	// Cause: what stands in the store was taken for what this program had written.
+func TestDecodeJobRejectsInvalidDeclarations(t *testing.T) {
+	// Guards against a crash of every owner that takes a pool over. Stored records were
+	// trusted to be written by this program; one that declares billions of tasks, or a
+	// step that depends on a step that does not exist, must be rejected by decodeJob.
 	is := is.New(t)
 	_, err := decodeJob("seats", testID, storedJob(t))
 	is.NoErr(err)
--- a/jaynode/declarations.go
+++ b/jaynode/declarations.go
@@ -11,7 +11,8 @@
 	"jaythread/jayport"
 )
 
-// declarations follows what operators declare.
+// declarations holds the configuration and the waves that operators have declared. It is
+// the handler of the tail that reads them.
 type declarations struct {
 	formats jayport.Formats
 	logger  logr.Logger
@@ -22,7 +23,7 @@
 	now   func() time.Duration
 }
 
-// declaredWave is a wave and when this entry learned of it.
+// declaredWave is a wave with the time at which this entry learned of it.
 type declaredWave struct {
 	jayport.Wave
 	since time.Duration
@@ -32,11 +33,11 @@
 	return &declarations{formats: n.ports.Formats, logger: n.logger.WithName("catalog"), waves: map[string]declaredWave{}, now: n.clock}
 }
 
-// Reset is called before a load. The catalog in force stays until a newer one
-// is read: it never goes back.
+// Reset is called before a reload. The catalog in force is kept until a newer one is
+// read, so that its revision never decreases.
 func (d *declarations) Reset() {}
 
-// Apply takes in an operator's record.
+// Apply processes an operator's record.
 func (d *declarations) Apply(r jayport.Record) {
 	declared, err := d.formats.Declared(r)
 	if err != nil {
@@ -52,7 +53,7 @@
 	}
 }
 
-// adopt puts a catalog in force unless a newer one is: after records have
+// adopt replaces the catalog in force if the given one is newer: when records have
 // expired, an older record may be read again.
 func (d *declarations) adopt(c *jaycatalog.Catalog) {
 	if present := d.catalog.Load(); present != nil && present.Revision >= c.Revision {
@@ -72,7 +73,7 @@
 	d.logger.Info("wave declared", "wave", w.Name, "hosts", len(w.Hosts), "maxAtOnce", w.MaxAtOnce, "within", w.Within.String())
 }
 
-// allWaves returns the waves that were declared.
+// allWaves returns all declared waves in no particular order.
 func (d *declarations) allWaves() []declaredWave {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,5 +84,5 @@
 	return waves
 }
 
-// CaughtUp is called after each read.
+// CaughtUp implements jaytail.Handler and does nothing.
 func (d *declarations) CaughtUp(time.Duration) {}
--- a/jaynode/demand.go
+++ b/jaynode/demand.go
@@ -8,7 +8,8 @@
 	"jaythread/jaywire"
 )
 
-// askDemand asks the owner of a pool what it needs, for the fleet's owner.
+// askDemand asks the owner of a pool which resources the pool needs. The owner of the
+// fleet calls it.
 func (n *Node) askDemand(ask *jaywire.AskDemand) (*jaywire.DemandReport, error) {
 	c, ok := n.members.Owners.Of(jayowner.PoolDuty(ask.Pool))
 	if !ok {
@@ -23,11 +24,12 @@
 	return response.GetDemand(), nil
 }
 
-// errNoOwner is reported while a pool has no owner.
-var errNoOwner = errors.New("the pool has no owner")
+// errNoOwner is returned while a pool has no owner.
+var errNoOwner = errors.New("pool has no owner")
 
-// demandOwned answers the fleet's owner for a pool that this entry owns. An
-// owner of the fleet that was replaced is not listened to.
+// demandOwned answers a demand request of the fleet's owner for a pool that this entry
+// owns. A request with a lower fence than the fleet's newest claim comes from a replaced
+// owner and is ignored.
 func (n *Node) demandOwned(ask *jaywire.AskDemand) *jaywire.DemandReport {
 	report := &jaywire.DemandReport{}
 	duty := n.ownedPool(ask.Pool)
@@ -56,7 +58,8 @@
 	return report
 }
 
-// neverEmpty stands for a worker that does not become empty by itself.
+// neverEmpty is the value of EmptyInMillis for a worker that does not become empty by
+// itself.
 const neverEmpty = -1
 
 func writeDemand(report *jaywire.DemandReport, d jaysched.Demand) {
--- a/jaynode/doc.go
+++ b/jaynode/doc.go
@@ -1,5 +1,5 @@
-// Package jaynode assembles an entry of the job service from its duties, a
-// goroutine each: following the operators' declarations, the owners and the
-// workers' reports, claiming duties, running the pools that it owns, and
-// answering callers and peers.
+// Package jaynode implements an entry, which is one server of the job service. It runs a
+// goroutine for each of these: reading the declarations of the operators, the claims of
+// duties and the reports of the workers, claiming duties, running each pool that the
+// entry owns and the fleet, and answering callers and peers.
 package jaynode
--- a/jaynode/duties.go
+++ b/jaynode/duties.go
@@ -6,12 +6,12 @@
 	"jaythread/jayowner"
 )
 
-// retryPause is before a call to the store that failed is made again.
-const retryPause = 300 * time.Millisecond
+// storeRetryDelay is the delay before a failed call to the store is repeated.
+const storeRetryDelay = 300 * time.Millisecond
 
-// matchDuties begins the duties that this entry owns by the newest claims and
-// ends those that it no longer owns.
-func (n *Node) matchDuties() {
+// reconcileDuties starts the duties that this entry owns according to the newest claims
+// and ends those that it no longer owns.
+func (n *Node) reconcileDuties() {
 	view := n.members.Owners.View()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// endDuties ends all duties of an entry that stops.
+// endDuties ends all duties of an entry that is stopping.
 func (n *Node) endDuties() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// dropPool forgets a duty that has ended by itself.
-func (n *Node) dropPool(duty *poolDuty) {
+// dropPool removes a pool's duty that has ended by itself.
+func (n *Node) removePool(duty *poolDuty) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.pools[duty.name] == duty {
@@ -71,8 +71,8 @@
 	}
 }
 
-// dropFleet forgets the fleet's duty when it has ended by itself.
-func (n *Node) dropFleet(duty *fleetDuty) {
+// dropFleet removes the fleet's duty after it has ended by itself.
+func (n *Node) removeFleet(duty *fleetDuty) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.fleet == duty {
@@ -80,7 +80,8 @@
 	}
 }
 
-// workersChanged tells the owner of a pool here that its workers have changed.
+// workersChanged notifies the duty of a pool, if this entry owns the pool, that the
+// pool's workers have changed.
 func (n *Node) workersChanged(pool string) {
 	if duty := n.ownedPool(pool); duty != nil {
 		duty.workersChanged()
--- a/jaynode/duty.go
+++ b/jaynode/duty.go
@@ -12,11 +12,11 @@
 	"jaythread/jayring"
 )
 
-// event is what a duty's goroutine takes in.
+// event is a function that a duty's goroutine runs with the current time.
 type event func(now time.Duration)
 
-// duty is what all duties have in common: a claim, a journal that is numbered by it, and
-// one goroutine that takes in events.
+// duty is the common part of all duties: a claim, a journal that writes under the claim's
+// fence, and an inbox of events that one goroutine processes.
 type duty struct {
 	node    *Node
 	claim   jayowner.Claim
@@ -27,7 +27,7 @@
 	journal *jayjournal.Journal
 }
 
-// newDuty returns the duty of a claim whose records are kept in a partition.
+// newDuty returns the duty of a claim; its records are kept in the given partition.
 func newDuty(n *Node, claim jayowner.Claim, p jayport.Partition, inboxSize int, logger logr.Logger) duty {
 	ctx, cancel := context.WithCancel(context.Background())
 	return duty{
@@ -41,15 +41,16 @@
 	}
 }
 
-// end ends the duty.
+// end cancels the duty and logs the reason.
 func (d *duty) end(why string) {
 	d.logger.Info("duty ended", "why", why)
 	d.node.metrics.DutyChanged(string(d.claim.Duty), "ended")
 	d.cancel()
 }
 
-// startJournal writes the duty's records until the duty ends. A journal that cannot go
-// on, such as that of a former owner, ends the duty.
+// startJournal writes the duty's records in the background until the duty ends. An error
+// of the journal, such as that the owner was replaced and its producer is fenced, ends
+// the duty.
 func (d *duty) startJournal() {
 	d.node.duties.Go(func() {
 		if err := d.journal.Run(d.ctx); err != nil && d.ctx.Err() == nil {
@@ -58,7 +59,7 @@
 	})
 }
 
-// loop calls step at each tick and whenever events wait, until the duty ends.
+// loop calls step at each tick and whenever events are waiting, until the duty ends.
 func (d *duty) loop(tick time.Duration, step func()) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -73,8 +74,8 @@
 	}
 }
 
-// post hands an event to the duty's goroutine. A full ring makes the sender
-// wait: an answer that is dropped would leave a run in doubt.
+// post queues an event for the duty's goroutine. It blocks while the inbox is full:
+// dropping a worker's answer would leave the state of a run unknown.
 func (d *duty) post(e event) {
 	for !d.inbox.Offer(e) {
 		if d.ctx.Err() != nil {
--- a/jaynode/expire.go
+++ b/jaynode/expire.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// expireEvery is between two looks for jobs that need not be shown any more.
-	expireEvery = 5 * time.Second
-	// expireAtOnce bounds the records of one removal.
-	expireAtOnce = 500
-	// expireMargin is for how much longer than asked a state is shown: the ends
-	// of jobs are timed by this entry's own clock.
+	// expireInterval is the time between two searches for ended jobs whose records can be
+	// removed.
+	expireInterval = 5 * time.Second
+	// expireBatchSize limits the number of jobs whose records are removed at once.
+	expireBatchSize = 500
+	// expireMargin is how much longer than RetainEnded the state of an ended job is kept,
+	// because the ends of jobs are timed by this entry's own clock.
 	expireMargin = 5 * time.Second
 )
 
-// expire removes the records of jobs that ended long ago: first what was handed
-// in, then how it ended. If this entry is lost in between, the next owner still
-// knows that the job has ended.
+// expire removes the records of jobs that ended longer ago than RetainEnded. It removes a
+// job's declaration before its progress record: if this entry is lost in between, the
+// next owner still knows that the job has ended.
 func (d *poolDuty) expire(now time.Duration) {
-	if now < d.expireAt || d.node.settings.RetainEnded == 0 {
+	if now < d.nextExpireAt || d.node.settings.RetainEnded == 0 {
 		return
 	}
-	d.expireAt = now + expireEvery
-	ids := d.pool.Expired(now, d.node.settings.RetainEnded+expireMargin, expireAtOnce)
+	d.nextExpireAt = now + expireInterval
+	ids := d.pool.Expired(now, d.node.settings.RetainEnded+expireMargin, expireBatchSize)
 	if len(ids) == 0 {
 		return
 	}
@@ -42,16 +43,16 @@
 		d.post(func(time.Duration) { d.forget(ids, err == nil) })
 	}
 	declarations := d.node.intake.journals[d.node.partitionOf(d.name)]
-	add(declarations, removals, func(err error) {
+	addToJournal(declarations, removals, func(err error) {
 		if err != nil {
 			removed(err)
 			return
 		}
-		add(d.journal, removals, removed)
+		addToJournal(d.journal, removals, removed)
 	})
 }
 
-// forget drops jobs whose records were removed.
+// forget removes jobs from memory after their records were removed.
 func (d *poolDuty) forget(ids []string, removed bool) {
 	d.pool.Removed(ids, removed)
 	if !removed {
@@ -62,11 +63,13 @@
 	}
 }
 
-// add hands records to a journal; a journal that takes none answers at once. Without
-// records it finds out whether the producer was fenced off.
-func add(j *jayjournal.Journal, records []jayport.Record, done func(error)) {
+// addToJournal adds records to a journal and calls done with the outcome, also if the
+// journal accepts no entry. An entry without records checks whether the producer has been
+// fenced.
+func addToJournal(j *jayjournal.Journal, records []jayport.Record, done func(error)) {
 	if err := j.Add(jayjournal.NewEntry(records, done)); err != nil {
-		// Not at once: the caller is the goroutine that takes in the outcome.
+		// done is not called directly: it posts to the goroutine that adds the records,
+		// which would block on itself if its inbox is full.
 		go done(err)
 	}
 }
--- a/jaynode/fakes_test.go
+++ b/jaynode/fakes_test.go
@@ -17,11 +17,12 @@
 	"jaythread/jayport"
 )
 
-// errCut is what a call comes to whose way is cut.
-var errCut = fmt.Errorf("%w: cut", jayport.ErrNoAnswer)
+// errUnreachable is returned by a call that does not reach its target, or whose answer is
+// lost.
+var errUnreachable = fmt.Errorf("%w: cut", jayport.ErrNoAnswer)
 
-// sharedStore is the platform's store as all entries of a test see it: it takes
-// numbered appends once, in the order of their epochs.
+// sharedStore is an in-memory store that all entries of a test share. It stores each
+// numbered append once and rejects producers with an old epoch.
 type sharedStore struct {
 	mu         sync.Mutex
 	partitions map[jayport.Partition]*sharedPartition
@@ -36,7 +37,7 @@
 	return &sharedStore{partitions: map[jayport.Partition]*sharedPartition{}}
 }
 
-// at returns a partition. The lock is held.
+// at returns a partition. The caller must hold the lock.
 func (s *sharedStore) at(p jayport.Partition) *sharedPartition {
 	if s.partitions[p] == nil {
 		s.partitions[p] = &sharedPartition{producers: map[string]jayport.Producer{}}
@@ -60,7 +61,7 @@
 		case a.Producer.Epoch > last.Epoch:
 			last = jayport.Producer{Epoch: a.Producer.Epoch, Sequence: a.Producer.Sequence - 1}
 		case len(a.Records) > 0 && a.Producer.Sequence <= last.Sequence:
-			return jayport.Appended{First: end, End: end}, nil // taken before
+			return jayport.Appended{First: end, End: end}, nil // duplicate
 		}
 		if len(a.Records) > 0 {
 			last.Sequence = a.Producer.Sequence
@@ -100,61 +101,62 @@
 	return latest
 }
 
-// storeWay is one entry's way to the store, with what goes wrong on it.
-type storeWay struct {
+// faultyStore is one entry's access to the shared store, with injected faults.
+type faultyStore struct {
 	store *sharedStore
 
 	mu sync.Mutex
-	// cut keeps calls from arriving, deaf answers from coming back.
-	cut, deaf bool
-	// refuse turns all calls away, refuseTopic the appends to one topic.
+	// unreachable drops requests, loseAnswers drops answers.
+	unreachable, loseAnswers bool
+	// refuse rejects all calls, refuseTopic only the appends to one topic.
 	refuse      bool
 	refuseTopic string
-	// delay is before an append takes effect, lag before its answer comes.
-	delay, lag time.Duration
-	appends    int
+	// requestDelay passes before a call takes effect, answerDelay before its answer
+	// arrives.
+	requestDelay, answerDelay time.Duration
+	appends                   int
 }
 
-func (w *storeWay) set(change func(*storeWay)) {
+func (w *faultyStore) set(change func(*faultyStore)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(w)
 }
 
-func (w *storeWay) look() (cut, deaf, refuse bool, delay, lag time.Duration) {
+func (w *faultyStore) faults() (unreachable, loseAnswers, refuse bool, requestDelay, answerDelay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.cut, w.deaf, w.refuse, w.delay, w.lag
+	return w.unreachable, w.loseAnswers, w.refuse, w.requestDelay, w.answerDelay
 }
 
-// call makes a call, with what goes wrong on its way.
-func call[T any](w *storeWay, timeout time.Duration, do func() (T, error)) (T, error) {
+// call makes a call with the injected faults.
+func call[T any](w *faultyStore, timeout time.Duration, do func() (T, error)) (T, error) {
 	var none T
-	cut, deaf, refuse, delay, lag := w.look()
+	unreachable, loseAnswers, refuse, requestDelay, answerDelay := w.faults()
 	switch {
 	case refuse:
 		return none, fmt.Errorf("%w: test", jayport.ErrNotDone)
-	case cut:
+	case unreachable:
 		time.Sleep(timeout)
-		return none, errCut
-	case delay > 0:
-		time.Sleep(delay)
+		return none, errUnreachable
+	case requestDelay > 0:
+		time.Sleep(requestDelay)
 	}
 	got, err := do()
 	switch {
-	case deaf, delay+lag > timeout:
-		time.Sleep(max(timeout-delay, time.Millisecond))
-		return none, errCut
-	case lag > 0:
-		time.Sleep(lag)
+	case loseAnswers, requestDelay+answerDelay > timeout:
+		time.Sleep(max(timeout-requestDelay, time.Millisecond))
+		return none, errUnreachable
+	case answerDelay > 0:
+		time.Sleep(answerDelay)
 	}
 	return got, err
 }
 
 // Append adds records.
-func (w *storeWay) Append(a jayport.Append, timeout time.Duration) (jayport.Appended, error) {
+func (w *faultyStore) Append(a jayport.Append, timeout time.Duration) (jayport.Appended, error) {
 	var refused bool
-	w.set(func(w *storeWay) {
+	w.set(func(w *faultyStore) {
 		w.appends++
 		refused = w.refuseTopic == a.Partition.Topic
 	})
@@ -164,8 +166,8 @@
 	return call(w, timeout, func() (jayport.Appended, error) { return w.store.append(a) })
 }
 
-// Read returns records from an offset on. It waits if there are none.
-func (w *storeWay) Read(p jayport.Partition, from int64, wait, timeout time.Duration) (jayport.Page, error) {
+// Read returns records from an offset on. If there are none, it waits.
+func (w *faultyStore) Read(p jayport.Partition, from int64, wait, timeout time.Duration) (jayport.Page, error) {
 	return call(w, timeout, func() (jayport.Page, error) {
 		page := w.store.read(p, from)
 		if len(page.Records) == 0 && wait > 0 {
@@ -176,8 +178,8 @@
 	})
 }
 
-// Latest returns the newest records.
-func (w *storeWay) Latest(p jayport.Partition, after string, timeout time.Duration) (jayport.Latest, error) {
+// Latest returns the newest record of each key.
+func (w *faultyStore) Latest(p jayport.Partition, after string, timeout time.Duration) (jayport.Latest, error) {
 	return call(w, timeout, func() (jayport.Latest, error) { return w.store.latest(p, after), nil })
 }
 
@@ -188,8 +190,8 @@
 	at    time.Duration
 }
 
-// sharedHosts is the inventory as all entries of a test see it. It carries out
-// whatever it is told, whatever the fence.
+// sharedHosts is an inventory that all entries of a test share. It accepts every command
+// regardless of its fence.
 type sharedHosts struct {
 	mu       sync.Mutex
 	hosts    map[string]jayport.Host
@@ -219,72 +221,72 @@
 	s.hosts[host] = h
 }
 
-// sent returns what has arrived so far.
+// sent returns the commands that have arrived so far.
 func (s *sharedHosts) sent() []sentCommand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.commands)
 }
 
-// hostsWay is one entry's way to the inventory.
-type hostsWay struct {
+// slowInventory is one entry's access to the shared inventory.
+type slowInventory struct {
 	hosts *sharedHosts
-	// late is how long a command is under way.
-	late time.Duration
+	// latency is the time that a command takes to arrive.
+	latency time.Duration
 }
 
-// slow makes commands arrive late from now on.
-func (w *hostsWay) slow(late time.Duration) {
+// setLatency sets the latency of commands.
+func (w *slowInventory) setLatency(late time.Duration) {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
-	w.late = late
+	w.latency = late
 }
 
-func (w *hostsWay) delay() time.Duration {
+func (w *slowInventory) delay() time.Duration {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
-	return w.late
+	return w.latency
 }
 
-// Hosts returns the whole list.
-func (w *hostsWay) Hosts(time.Duration) ([]jayport.Host, error) {
+// Hosts returns all hosts.
+func (w *slowInventory) Hosts(time.Duration) ([]jayport.Host, error) {
 	w.hosts.mu.Lock()
 	defer w.hosts.mu.Unlock()
 	return slices.Collect(maps.Values(w.hosts.hosts)), nil
 }
 
-// Move brings a host up in another pool.
-func (w *hostsWay) Move(host, pool string, lease jayport.Lease, timeout time.Duration) error {
+// Move assigns a host to another pool.
+func (w *slowInventory) Move(host, pool string, lease jayport.Lease, timeout time.Duration) error {
 	return w.command(host, pool, lease, timeout)
 }
 
-// Maintain maintains a host.
-func (w *hostsWay) Maintain(host, _ string, lease jayport.Lease, timeout time.Duration) error {
+// Maintain records a maintenance command.
+func (w *slowInventory) Maintain(host, _ string, lease jayport.Lease, timeout time.Duration) error {
 	return w.command(host, "", lease, timeout)
 }
 
-func (w *hostsWay) command(host, pool string, lease jayport.Lease, timeout time.Duration) error {
+func (w *slowInventory) command(host, pool string, lease jayport.Lease, timeout time.Duration) error {
 	late := w.delay()
 	time.Sleep(min(late, timeout))
 	w.hosts.command(host, pool, lease.Fence)
 	if late >= timeout {
-		return errCut
+		return errUnreachable
 	}
 	return nil
 }
 
-// testFormats are the partitions of a test.
+// testFormats maps each topic to one partition.
 type testFormats struct{ jayport.Formats }
 
-// OwnPartitions is how many partitions each topic has.
+// OwnPartitions returns the number of partitions of each topic.
 func (testFormats) OwnPartitions() int { return 1 }
 
-// Own is a partition of the program's own.
+// Own returns a partition of a topic of the program.
 func (testFormats) Own(topic string, number int) jayport.Partition {
 	return jayport.Partition{Topic: topic, Number: number}
 }
 
-// WaveStatus is what operators are told of a wave.
+// WaveStatus returns the record of a wave's status.
 func (testFormats) WaveStatus(wave string, done bool) (jayport.Partition, jayport.Record) {
 	return jayport.Partition{Topic: "status"}, jayport.Record{Key: wave, Value: []byte(fmt.Sprint(done))}
 }
@@ -292,15 +294,15 @@
 // testEntry is an entry whose duties a test runs one by one.
 type testEntry struct {
 	node  *Node
-	store *storeWay
-	hosts *hostsWay
+	store *faultyStore
+	hosts *slowInventory
 }
 
-// newTestEntry returns an entry that shares a store and an inventory with others.
-// It is not started: nothing of it runs but what the test runs.
+// newTestEntry returns an entry that shares a store and an inventory with others. It is
+// not started: only the parts that a test starts run.
 func newTestEntry(t *testing.T, name string, store *sharedStore, hosts *sharedHosts, clock jayclock.Clock) *testEntry {
 	t.Helper()
-	e := &testEntry{store: &storeWay{store: store}, hosts: &hostsWay{hosts: hosts}}
+	e := &testEntry{store: &faultyStore{store: store}, hosts: &slowInventory{hosts: hosts}}
 	e.node = New(Settings{
 		Entry: name, PeerAddr: "127.0.0.1:1", MoveTime: time.Second, MaintenanceTime: time.Second,
 		HolderTime: 3 * time.Second, MaxLease: 10 * time.Second, StopTime: 200 * time.Millisecond,
@@ -311,13 +313,13 @@
 	return e
 }
 
-// claim is a claim of the fleet by the entry.
+// claim returns a claim of a duty by the entry.
 func (e *testEntry) claim(duty jayowner.Duty, fence, term int64) jayowner.Claim {
 	return jayowner.Claim{Duty: duty, Fence: fence, Term: term, Incarnation: e.node.incarnation, Entry: e.node.settings.Entry}
 }
 
-// owns makes the entry believe some claims.
-func (e *testEntry) owns(claims ...jayowner.Claim) {
+// setClaims sets the claims that the entry knows, as of now.
+func (e *testEntry) setClaims(claims ...jayowner.Claim) {
 	table := jayowner.NewTable()
 	for n, c := range claims {
 		r := c.Record()
@@ -327,10 +329,10 @@
 	e.node.members.Owners.Publish(&jaymember.View{Table: table, AsOf: e.node.clock()})
 }
 
-var _ jayport.Store = (*storeWay)(nil)
-var _ jayport.Inventory = (*hostsWay)(nil)
+var _ jayport.Store = (*faultyStore)(nil)
+var _ jayport.Inventory = (*slowInventory)(nil)
 
-// fakeWorkers are workers that answer at once, unless they are silent.
+// fakeWorkers are workers that answer at once, except for the silent ones.
 type fakeWorkers struct {
 	jayport.Workers
 	clock jayclock.Clock
@@ -361,10 +363,10 @@
 	return !silent
 }
 
-// Start takes a start.
+// Start records a start order.
 func (f *fakeWorkers) Start(to jayport.WorkerRef, o jayport.StartOrder, timeout time.Duration) (time.Duration, error) {
 	if !f.answers(to.ID, timeout) {
-		return 0, errCut
+		return 0, errUnreachable
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -376,10 +378,10 @@
 	return f.clock(), nil
 }
 
-// Stop takes a stop.
+// Stop records a stop order.
 func (f *fakeWorkers) Stop(to jayport.WorkerRef, run jayport.RunRef, _ int64, timeout time.Duration) (time.Duration, error) {
 	if !f.answers(to.ID, timeout) {
-		return 0, errCut
+		return 0, errUnreachable
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -388,10 +390,10 @@
 	return f.clock(), nil
 }
 
-// Renew reports what runs, after the time for which it may wait.
+// Renew returns the active runs after the order's wait time.
 func (f *fakeWorkers) Renew(to jayport.WorkerRef, o jayport.LeaseOrder, timeout time.Duration) (jayport.Report, error) {
 	if !f.answers(to.ID, timeout) {
-		return jayport.Report{}, errCut
+		return jayport.Report{}, errUnreachable
 	}
 	f.mu.Lock()
 	f.renews++
@@ -409,7 +411,7 @@
 // Forget does nothing.
 func (f *fakeWorkers) Forget(jayport.WorkerRef) {}
 
-// started counts the starts and renewals so far.
+// counts returns the number of starts and renewals so far.
 func (f *fakeWorkers) counts() (starts, renews int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/jaynode/fleetcommands.go
+++ b/jaynode/fleetcommands.go
@@ -18,17 +18,18 @@
 	switch a := action.(type) {
 	case jayfleet.MoveHost:
 		d.logger.Info("moving host", "host", a.Host, "from", a.From, "to", a.Pool, "why", a.Why)
-		d.command(a.Host, func() error { return d.node.ports.Inventory.Move(a.Host, a.Pool, lease, inventoryTimeout) })
+		d.recordAndSend(a.Host, func() error { return d.node.ports.Inventory.Move(a.Host, a.Pool, lease, inventoryTimeout) })
 	case jayfleet.MaintainHost:
 		d.logger.Info("maintaining host", "host", a.Host, "wave", a.Wave)
-		d.command(a.Host, func() error { return d.node.ports.Inventory.Maintain(a.Host, a.Wave, lease, inventoryTimeout) })
+		d.recordAndSend(a.Host, func() error { return d.node.ports.Inventory.Maintain(a.Host, a.Wave, lease, inventoryTimeout) })
 	case jayfleet.RecordWave:
 		d.recordWave(a)
 	}
 }
 
-// command records a command to a host, and sends it.
-func (d *fleetDuty) command(host string, do func() error) {
+// recordAndSend records a command to a host for the next owner of the fleet, and then
+// sends it if the guard allows that.
+func (d *fleetDuty) recordAndSend(host string, do func() error) {
 	decided := d.node.clock()
 	value, err := proto.Marshal(&jaywire.HostCommand{
 		UnixMillis:    time.Now().UnixMilli(),
@@ -36,8 +37,8 @@
 		DecidedMicros: decided.Microseconds(),
 	})
 	if err != nil {
-		d.logger.Error(err, "command cannot be written", "host", host)
-		go d.answered(host, jayfleet.ErrStale)
+		d.logger.Error(err, "host command cannot be encoded", "host", host)
+		go d.commandAnswered(host, jayfleet.ErrStale)
 		return
 	}
 	outcome := make(chan error, 1)
@@ -51,21 +52,21 @@
 			d.logger.Info("command not recorded", "host", host, "error", err.Error())
 		}
 		if d.ctx.Err() != nil {
-			// An owner that was replaced meanwhile acts no more.
+			// The duty has ended, for example because another entry owns the fleet now.
 			return
 		}
 		if age := d.node.clock() - decided; !d.guard.MaySend(record, age) {
 			entry.Withdraw()
 			d.logger.Info("command not sent", "host", host, "age", age.String(), "recorded", record == jayfleet.Recorded)
-			d.answered(host, jayfleet.ErrStale)
+			d.commandAnswered(host, jayfleet.ErrStale)
 			return
 		}
-		d.answered(host, do())
+		d.commandAnswered(host, do())
 	}()
 }
 
-// awaitRecord waits for the outcome of a command's record for as long as the command may
-// wait. The error says why it was not recorded.
+// awaitRecord waits until a command's record is written, at most for the guard's record
+// timeout. The error says why it was not recorded.
 func (d *fleetDuty) awaitRecord(outcome <-chan error) (jayfleet.RecordState, error) {
 	timer := time.NewTimer(d.guard.RecordTimeout())
 	defer timer.Stop()
@@ -82,7 +83,7 @@
 	}
 }
 
-func (d *fleetDuty) answered(host string, err error) {
+func (d *fleetDuty) commandAnswered(host string, err error) {
 	d.post(func(now time.Duration) {
 		if err != nil {
 			d.logger.Info("command not accepted", "host", host, "error", err.Error())
@@ -93,16 +94,17 @@
 			return
 		}
 		d.fleet.Answered(host, err, now)
-		d.listAt = min(d.listAt, now+hostsEvery/2)
+		d.nextHostsReadAt = min(d.nextHostsReadAt, now+hostsInterval/2)
 	})
 }
 
-// recordWave records how far a wave is for the next owner, and tells operators.
+// recordWave records the progress of a wave for the next owner, and writes its status for
+// operators when it starts and when it is done.
 func (d *fleetDuty) recordWave(a jayfleet.RecordWave) {
 	declared := time.Now().Add(a.DeclaredAt - d.node.clock())
 	value, err := proto.Marshal(&jaywire.WaveProgress{Maintained: a.Maintained, Done: a.Done, DeclaredUnixMillis: declared.UnixMilli()})
 	if err != nil {
-		d.logger.Error(err, "wave cannot be written", "wave", a.Wave)
+		d.logger.Error(err, "wave progress cannot be encoded", "wave", a.Wave)
 		return
 	}
 	d.logger.Info("wave progress", "wave", a.Wave, "maintained", len(a.Maintained), "done", a.Done)
@@ -112,7 +114,7 @@
 			return
 		}
 		if a.Done || len(a.Maintained) == 0 {
-			d.node.duties.Go(func() { d.tellOperators(a.Wave, a.Done) })
+			d.node.duties.Go(func() { d.writeWaveStatus(a.Wave, a.Done) })
 		}
 	})
 	if err := d.journal.Add(entry); err != nil {
@@ -120,8 +122,9 @@
 	}
 }
 
-// tellOperators writes the status of a wave until the store has it.
-func (d *fleetDuty) tellOperators(wave string, done bool) {
+// writeWaveStatus writes the status of a wave for operators and retries until the store
+// accepts it.
+func (d *fleetDuty) writeWaveStatus(wave string, done bool) {
 	p, record := d.node.ports.Formats.WaveStatus(wave, done)
 	for d.ctx.Err() == nil {
 		_, err := d.node.store.Append(jayport.Append{Partition: p, Records: []jayport.Record{record}, AsOf: jayport.AnyOffset}, jayport.CallTimeout)
@@ -129,7 +132,7 @@
 			d.logger.Info("wave status written", "wave", wave, "done", done)
 			return
 		}
-		d.logger.Info("wave status not written yet", "wave", wave, "error", err.Error())
-		jayclock.Sleep(d.ctx, retryPause)
+		d.logger.Info("writing wave status failed; retrying", "wave", wave, "error", err.Error())
+		jayclock.Sleep(d.ctx, storeRetryDelay)
 	}
 }
--- a/jaynode/fleetcommands_test.go
+++ b/jaynode/fleetcommands_test.go
@@ -16,8 +16,8 @@
 	"jaythread/jayport"
 )
 
-// wantNoCrossing checks that no host saw a lower fence after a higher one.
-func wantNoCrossing(t *testing.T, commands []sentCommand) {
+// checkFenceOrder checks that no host received a lower fence after a higher one.
+func checkFenceOrder(t *testing.T, commands []sentCommand) {
 	t.Helper()
 	highest := map[string]sentCommand{}
 	for _, a := range commands {
@@ -31,7 +31,7 @@
 	}
 }
 
-// fencesOf returns the fences of commands, each once, in their order.
+// fencesOf returns the distinct fences of commands in ascending order.
 func fencesOf(commands []sentCommand) []int64 {
 	var fences []int64
 	for _, a := range commands {
@@ -41,18 +41,18 @@
 	return slices.Compact(fences)
 }
 
-// ownersRace is a fleet whose first owner meets trouble at some step of its commands
+// takeoverScenario is a fleet whose first owner meets a fault while it sends commands,
 // and is replaced a moment later.
-type ownersRace struct {
-	// trouble comes to the first owner.
-	trouble func(*testEntry)
-	// replacedAfter is how long after that the second owner claims.
+type takeoverScenario struct {
+	// fault is injected into the first owner's entry.
+	fault func(*testEntry)
+	// replacedAfter is the delay between the fault and the second owner's claim.
 	replacedAfter time.Duration
 }
 
-// play runs both owners for some seconds, through a wave of all hosts, and
-// returns what reached the inventory.
-func (r ownersRace) play(t *testing.T) []sentCommand {
+// run runs both owners for some seconds, through a wave over all hosts, and returns the
+// commands that reached the inventory.
+func (r takeoverScenario) run(t *testing.T) []sentCommand {
 	t.Helper()
 	clock := jayclock.Since(time.Now().Add(-time.Hour))
 	store, hosts := newSharedStore(), newSharedHosts(clock, map[string]int{"standby": 40})
@@ -67,43 +67,41 @@
 	former := newFleetDuty(first.node, first.claim(jayowner.Fleet, 1, 1))
 	first.node.duties.Go(former.run)
 	time.Sleep(700 * time.Millisecond)
-	r.trouble(first)
+	r.fault(first)
 	time.Sleep(r.replacedAfter)
 	next := newFleetDuty(second.node, second.claim(jayowner.Fleet, 6, 2))
 	second.node.duties.Go(next.run)
 	time.Sleep(6 * time.Second)
 	former.cancel()
 	next.cancel()
-	first.store.set(func(w *storeWay) { w.cut, w.deaf, w.refuse = false, false, false })
+	first.store.set(func(w *faultyStore) { w.unreachable, w.loseAnswers, w.refuse = false, false, false })
 	first.node.duties.Wait()
 	second.node.duties.Wait()
-	time.Sleep(10 * time.Second) // what is under way comes to its end
+	time.Sleep(10 * time.Second) // lets pending calls return
 	return hosts.sent()
 }
 
-func TestReplacedOwnerActsNoMore(t *testing.T) {
-	// Symptom: a host sees a command with a lower fence after one with a higher fence,
-	// by an inventory that does not check fences.
-	// Sequence: the fleet's owner is cut off or paused at any step between deciding
-	// a command, recording it, taking in the answer and sending the command; another entry
-	// takes the fleet over; the first one goes on.
-	// Cause: a command was sent after a moment whether it was recorded or not.
-	troubles := map[string]func(*testEntry){
-		"cut from the store":           func(e *testEntry) { e.store.set(func(w *storeWay) { w.cut = true }) },
-		"rejected by the store":        func(e *testEntry) { e.store.set(func(w *storeWay) { w.refuse = true }) },
-		"answers of the store lost":    func(e *testEntry) { e.store.set(func(w *storeWay) { w.deaf = true }) },
-		"appends arrive late":          func(e *testEntry) { e.store.set(func(w *storeWay) { w.delay = 300 * time.Millisecond }) },
-		"appends arrive after a claim": func(e *testEntry) { e.store.set(func(w *storeWay) { w.delay = 900 * time.Millisecond }) },
-		"answers come late":            func(e *testEntry) { e.store.set(func(w *storeWay) { w.lag = 350 * time.Millisecond }) },
-		"commands arrive late":         func(e *testEntry) { e.hosts.slow(650 * time.Millisecond) },
+func TestReplacedOwnerSendsNoStaleCommands(t *testing.T) {
+	// Guards against a command with a lower fence that reaches a host after one with a
+	// higher fence, for an inventory that does not check fences. The first owner was cut
+	// off or paused between deciding, recording and sending a command, another entry took
+	// the fleet over, and the first owner sent its command although it was not recorded.
+	faults := map[string]func(*testEntry){
+		"cut from the store":           func(e *testEntry) { e.store.set(func(w *faultyStore) { w.unreachable = true }) },
+		"rejected by the store":        func(e *testEntry) { e.store.set(func(w *faultyStore) { w.refuse = true }) },
+		"answers of the store lost":    func(e *testEntry) { e.store.set(func(w *faultyStore) { w.loseAnswers = true }) },
+		"appends arrive late":          func(e *testEntry) { e.store.set(func(w *faultyStore) { w.requestDelay = 300 * time.Millisecond }) },
+		"appends arrive after a claim": func(e *testEntry) { e.store.set(func(w *faultyStore) { w.requestDelay = 900 * time.Millisecond }) },
+		"answers come late":            func(e *testEntry) { e.store.set(func(w *faultyStore) { w.answerDelay = 350 * time.Millisecond }) },
+		"commands arrive late":         func(e *testEntry) { e.hosts.setLatency(650 * time.Millisecond) },
 		"none":                         func(*testEntry) {},
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		for _, after := range []time.Duration{0, 60 * time.Millisecond, 400 * time.Millisecond, 1100 * time.Millisecond} {
 			t.Run(fmt.Sprint(name, ", replaced after ", after), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					commands := ownersRace{trouble: trouble, replacedAfter: after}.play(t)
-					wantNoCrossing(t, commands)
+					commands := takeoverScenario{fault: fault, replacedAfter: after}.run(t)
+					checkFenceOrder(t, commands)
 					is.New(t).Equal(fencesOf(commands), []int64{1, 6})
 				})
 			})
@@ -111,11 +109,10 @@
 	}
 }
 
-func TestNewOwnerFencesTheFormerOneOff(t *testing.T) {
-	// Symptom: a command is sent that the new owner does not know of.
-	// Sequence: an owner is replaced; the new one reads what was recorded; the former
-	// one records a command and sends it.
-	// Cause: the former one's records were still taken after the new one had read.
+func TestTakeoverFencesFormerOwner(t *testing.T) {
+	// Guards against a command that the new owner does not know of: the former owner
+	// recorded and sent it after the new owner had read the records. The new owner fences
+	// the former one's producer before it reads.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := jayclock.Since(time.Now().Add(-time.Hour))
@@ -146,12 +143,11 @@
 	})
 }
 
-func TestFencedOwnerEnds(t *testing.T) {
-	// Symptom: an owner that was replaced goes on calling the inventory, which
-	// refuses each call.
-	// Sequence: it is cut off from the store and its peers, but not from the
-	// inventory; another owner acts with a higher fence.
-	// Cause: the refusal was taken for one of this command only.
+func TestDutyEndsWhenHostRejectsItsFence(t *testing.T) {
+	// Guards against a replaced owner that keeps calling the inventory, which rejects
+	// each call. The owner is cut off from the store and its peers, but not from the
+	// inventory; a rejection for a lower fence must end its duty instead of failing one
+	// command.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := jayclock.Since(time.Now().Add(-time.Hour))
@@ -160,7 +156,7 @@
 			duty := newFleetDuty(e.node, e.claim(jayowner.Fleet, 1, 1))
 			_, ok := duty.takeOver()
 			is.True(ok)
-			duty.answered("m1", &jayport.HostError{Reason: reason})
+			duty.commandAnswered("m1", &jayport.HostError{Reason: reason})
 			duty.step(nil)
 			is.Equal(duty.ctx.Err() != nil, ends)
 			duty.cancel()
@@ -168,7 +164,7 @@
 	})
 }
 
-func TestRecordOfAnActIsAwaited(t *testing.T) {
+func TestAwaitRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := jayclock.Since(time.Now().Add(-time.Hour))
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// topicFleet holds how far each maintenance wave is, and when each host was
-	// last acted on. Only the owner of the fleet appends to it.
+	// topicFleet is the topic of the progress of each maintenance wave and of the last
+	// command to each host. Only the owner of the fleet appends to it.
 	topicFleet = "fleet"
 	waveKeys   = "wave/"
 	hostKeys   = "host/"
-	// statesEvery is between two lines in the log on what the pools have.
-	statesEvery = 500 * time.Millisecond
-	// fleetTick is how often the fleet is looked at.
+	// stateLogInterval is the time between two log lines on the state of the pools.
+	stateLogInterval = 500 * time.Millisecond
+	// fleetTick is the time between two steps of the fleet's duty.
 	fleetTick = 50 * time.Millisecond
-	// demandEvery is how often each pool is asked what it needs.
-	demandEvery = 150 * time.Millisecond
-	// hostsEvery is how often the inventory is read; each reading is paid for.
-	hostsEvery = 400 * time.Millisecond
-	// inventoryTimeout bounds a call to the inventory.
+	// demandInterval is the time between two demand requests to the owner of a pool.
+	demandInterval = 150 * time.Millisecond
+	// hostsInterval is the time between two reads of the inventory. Each read has a cost.
+	hostsInterval = 400 * time.Millisecond
+	// inventoryTimeout limits the duration of a call to the inventory.
 	inventoryTimeout = 700 * time.Millisecond
-	// fleetInbox bounds the events that wait for the fleet's goroutine.
+	// fleetInbox limits the number of events that wait for the fleet's goroutine.
 	fleetInbox = 4096
 )
 
-// fleetDuty moves and maintains hosts, as long as this entry owns the fleet.
+// fleetDuty moves and maintains hosts while this entry owns the fleet.
 type fleetDuty struct {
 	duty
 	guard jayfleet.Guard
 
-	// Only the duty's goroutine uses what follows.
-	fleet   *jayfleet.Fleet
-	listing bool
-	listAt  time.Duration
-	asking  map[string]bool
-	askAt   map[string]time.Duration
-	sent    map[string]string
-	// clocks are those of the pools' owners.
+	// The fields below are used only by the duty's goroutine.
+	fleet           *jayfleet.Fleet
+	readingHosts    bool
+	nextHostsReadAt time.Duration
+	askingDemand    map[string]bool
+	nextDemandAt    map[string]time.Duration
+	sentOrders      map[string]string
+	// clocks relates the clock of each pool's owner to this entry's clock.
 	clocks map[string]jaymember.PeerClock
-	// statesAt is when the pools' states are logged next.
-	statesAt time.Duration
+	// nextStatesLogAt is when the states of the pools are logged next.
+	nextStatesLogAt time.Duration
 }
 
 func newFleetDuty(n *Node, claim jayowner.Claim) *fleetDuty {
@@ -59,16 +59,16 @@
 			HolderTime:    n.settings.HolderTime,
 			CallTime:      inventoryTimeout,
 		},
-		asking: map[string]bool{},
-		askAt:  map[string]time.Duration{},
-		sent:   map[string]string{},
-		clocks: map[string]jaymember.PeerClock{},
+		askingDemand: map[string]bool{},
+		nextDemandAt: map[string]time.Duration{},
+		sentOrders:   map[string]string{},
+		clocks:       map[string]jaymember.PeerClock{},
 	}
 }
 
-// run takes the fleet over and works on it until the duty ends.
+// run takes the fleet over and manages it until the duty ends.
 func (d *fleetDuty) run() {
-	defer d.node.dropFleet(d)
+	defer d.node.removeFleet(d)
 	recorded, ok := d.takeOver()
 	if !ok {
 		return
@@ -77,16 +77,17 @@
 	d.loop(fleetTick, func() { d.step(recorded) })
 }
 
-// takeOver fences the former owner off and reads how far the waves are.
+// takeOver fences the former owner's producer and reads the recorded progress of the
+// waves and the last command to each host. It returns false if the duty ended meanwhile.
 func (d *fleetDuty) takeOver() (map[string]*jaywire.WaveProgress, bool) {
 	if err := d.journal.Fence(d.ctx); err != nil {
-		d.logger.Info("not taken over", "error", err.Error())
+		d.logger.Info("fleet takeover failed", "error", err.Error())
 		return nil, false
 	}
 	c := newFleetCollector(d.logger)
 	tail := jaytail.New(d.node.store, d.node.ports.Formats.Own(topicFleet, 0), jaytail.Options{}, c, d.node.clock, d.logger)
 	for tail.Step(0) != nil {
-		jayclock.Sleep(d.ctx, retryPause)
+		jayclock.Sleep(d.ctx, storeRetryDelay)
 		if d.ctx.Err() != nil {
 			return nil, false
 		}
@@ -119,7 +120,7 @@
 	d.fleet.SetPools(working, catalog.StandbyPools())
 	for _, w := range d.node.declarations.allWaves() {
 		progress := recorded[w.Name]
-		since := waveSince(w.since, progress, now, time.Now())
+		since := waveStartTime(w.since, progress, now, time.Now())
 		d.fleet.Declared(w.Wave, since, progress.GetMaintained(), progress.GetDone())
 	}
 	if d.guard.MayDecide(d.journal.StuckFor()) {
@@ -137,12 +138,12 @@
 	}
 }
 
-// logStates logs from time to time what each pool has and needs.
+// logStates logs the state and the needs of each pool, once per stateLogInterval.
 func (d *fleetDuty) logStates(now time.Duration) {
-	if now < d.statesAt {
+	if now < d.nextStatesLogAt {
 		return
 	}
-	d.statesAt = now + statesEvery
+	d.nextStatesLogAt = now + stateLogInterval
 	pools, off := d.fleet.States(now)
 	for _, s := range pools {
 		d.logger.Info("pool state", "pool", s.Pool, "need", s.Need, "keep", s.Keep, "useful", s.Useful, "on", s.On, "idle", s.Idle, "longRunning", s.LongRunning,
@@ -150,10 +151,11 @@
 	}
 }
 
-// waveSince is since when a wave's time runs. An entry that was started in the
-// middle of a wave learned of it late: if it went by that, a wave would begin its
-// time anew with each owner, and the last hosts would be maintained too late.
-func waveSince(learned time.Duration, progress *jaywire.WaveProgress, now time.Duration, wall time.Time) time.Duration {
+// waveStartTime returns when a wave's time began, on this entry's clock: the earlier of
+// the recorded declaration and the time at which this entry learned of the wave. An entry
+// that was started during a wave learned of it late. Without the recorded time, each new
+// owner would restart the wave's time, and the last hosts would be maintained too late.
+func waveStartTime(learned time.Duration, progress *jaywire.WaveProgress, now time.Duration, wall time.Time) time.Duration {
 	if progress.GetDeclaredUnixMillis() == 0 {
 		return learned
 	}
@@ -161,17 +163,17 @@
 	return min(learned, declared)
 }
 
-// readHosts reads the inventory from time to time.
+// readHosts reads the inventory in the background, once per hostsInterval.
 func (d *fleetDuty) readHosts(now time.Duration) {
-	if d.listing || now < d.listAt {
+	if d.readingHosts || now < d.nextHostsReadAt {
 		return
 	}
-	d.listing = true
+	d.readingHosts = true
 	go func() {
 		hosts, err := d.node.ports.Inventory.Hosts(inventoryTimeout)
 		d.post(func(at time.Duration) {
-			d.listing = false
-			d.listAt = at + hostsEvery
+			d.readingHosts = false
+			d.nextHostsReadAt = at + hostsInterval
 			if err != nil {
 				d.logger.Info("inventory not read", "error", err.Error())
 				return
@@ -181,8 +183,8 @@
 	}()
 }
 
-// askDemand asks a pool's owner what it needs and tells it which workers to
-// vacate: from time to time, and at once when these have changed.
+// askDemand asks a pool's owner for its demand and tells it which workers to vacate: once
+// per demandInterval, and at once if the workers to vacate have changed.
 func (d *fleetDuty) askDemand(pool string, now time.Duration) {
 	vacating := d.fleet.Vacating(pool)
 	orders := make([]*jaywire.VacateOrder, 0, len(vacating))
@@ -190,12 +192,12 @@
 		orders = append(orders, &jaywire.VacateOrder{Worker: worker, Urgent: how.Urgent, Migrate: how.Migrate})
 	}
 	slices.SortFunc(orders, func(a, b *jaywire.VacateOrder) int { return strings.Compare(a.Worker, b.Worker) })
-	names := ordersText(orders)
-	if d.asking[pool] || now < d.askAt[pool] && names == d.sent[pool] {
+	names := vacateOrdersKey(orders)
+	if d.askingDemand[pool] || now < d.nextDemandAt[pool] && names == d.sentOrders[pool] {
 		return
 	}
-	d.asking[pool] = true
-	d.sent[pool] = names
+	d.askingDemand[pool] = true
+	d.sentOrders[pool] = names
 	ask := &jaywire.AskDemand{Pool: pool, Fence: d.claim.Fence, Vacate: orders}
 	existing, asked, read := d.fleet.Existing(pool)
 	if clock, known := d.clocks[pool]; known && read {
@@ -205,8 +207,8 @@
 	go func() {
 		report, err := d.node.askDemand(ask)
 		d.post(func(at time.Duration) {
-			d.asking[pool] = false
-			d.askAt[pool] = at + demandEvery
+			d.askingDemand[pool] = false
+			d.nextDemandAt[pool] = at + demandInterval
 			if err == nil && report.GetOwned() {
 				d.fleet.Demanded(pool, demandOf(report, now))
 				d.clocks[pool] = jaymember.PeerClock{Fence: report.Fence, Clock: micros(report.ClockMicros), HeardAt: at}
@@ -215,7 +217,7 @@
 	}()
 }
 
-func ordersText(orders []*jaywire.VacateOrder) string {
+func vacateOrdersKey(orders []*jaywire.VacateOrder) string {
 	var b strings.Builder
 	for _, o := range orders {
 		b.WriteString(o.Worker)
--- a/jaynode/fleetduty_test.go
+++ b/jaynode/fleetduty_test.go
@@ -12,15 +12,15 @@
 	"jaythread/jaywire"
 )
 
-// knownActors are entries of which some have ended and some clocks are known.
-type knownActors struct {
+// fakeActors is a set of processes, some of which have ended or have a known clock.
+type fakeActors struct {
 	gone   map[string]bool
 	clocks map[string]jaymember.PeerClock
 }
 
-func (a knownActors) Ended(incarnation string, _ time.Time) bool { return a.gone[incarnation] }
+func (a fakeActors) Ended(incarnation string, _ time.Time) bool { return a.gone[incarnation] }
 
-func (a knownActors) ClockOf(incarnation string) (jaymember.PeerClock, bool) {
+func (a fakeActors) ClockOf(incarnation string) (jaymember.PeerClock, bool) {
 	c, known := a.clocks[incarnation]
 	return c, known
 }
@@ -37,7 +37,7 @@
 	command("old", "unknown", time.Hour, day.Add(-time.Hour))
 	command("known", "peer", 59*time.Second, day.Add(-time.Minute)) // its time of day is a minute behind
 	command("over", "peer", 55*time.Second, day)
-	peers := knownActors{
+	peers := fakeActors{
 		gone:   map[string]bool{"gone": true},
 		clocks: map[string]jaymember.PeerClock{"peer": {Clock: 58 * time.Second, HeardAt: 8 * time.Second}},
 	}
@@ -46,16 +46,15 @@
 	is.Equal(held, map[string]time.Duration{"unknown": 13 * time.Second, "known": 12 * time.Second})
 }
 
-func TestWaveKeepsItsTimeThroughOwners(t *testing.T) {
-	// Symptom: the last hosts of a wave are maintained after its time.
-	// Sequence: entries are restarted in turn; the fleet's new owner was started
-	// fourteen seconds into the wave.
-	// Cause: it took the wave for one that was declared when it learned of it.
+func TestWaveStartTimeSurvivesTakeover(t *testing.T) {
+	// Guards against maintaining the last hosts of a wave after its time. The fleet's new
+	// owner was started fourteen seconds into the wave and treated the wave as declared
+	// at that time.
 	is := is.New(t)
 	wall := time.UnixMilli(1_000_000_000)
 	now := time.Hour
 	recorded := &jaywire.WaveProgress{DeclaredUnixMillis: wall.Add(-14 * time.Second).UnixMilli()}
-	is.Equal(waveSince(now-time.Second, recorded, now, wall), now-14*time.Second)
-	is.Equal(waveSince(now-20*time.Second, recorded, now, wall), now-20*time.Second)
-	is.Equal(waveSince(now-time.Second, nil, now, wall), now-time.Second)
+	is.Equal(waveStartTime(now-time.Second, recorded, now, wall), now-14*time.Second)
+	is.Equal(waveStartTime(now-20*time.Second, recorded, now, wall), now-20*time.Second)
+	is.Equal(waveStartTime(now-time.Second, nil, now, wall), now-time.Second)
 }
--- a/jaynode/fleetrecords.go
+++ b/jaynode/fleetrecords.go
@@ -13,7 +13,8 @@
 	"jaythread/jaywire"
 )
 
-// fleetCollector collects what was recorded of waves and hosts.
+// fleetCollector collects the recorded progress of the waves and the last command to each
+// host.
 type fleetCollector struct {
 	waves    map[string]*jaywire.WaveProgress
 	commands map[string]*jaywire.HostCommand
@@ -24,13 +25,13 @@
 	return &fleetCollector{waves: map[string]*jaywire.WaveProgress{}, commands: map[string]*jaywire.HostCommand{}, logger: logger}
 }
 
-// Reset begins a load.
+// Reset discards the collected records before a reload.
 func (c *fleetCollector) Reset() {
 	clear(c.waves)
 	clear(c.commands)
 }
 
-// Apply takes in a record.
+// Apply decodes a record.
 func (c *fleetCollector) Apply(r jayport.Record) {
 	if r.Value == nil {
 		return
@@ -45,24 +46,24 @@
 		c.commands[name] = command
 	}
 	if err != nil {
-		c.logger.Error(err, "fleet's record unreadable", "key", r.Key)
+		c.logger.Error(err, "fleet record cannot be decoded", "key", r.Key)
 	}
 }
 
-// CaughtUp is called after the load.
+// CaughtUp implements jaytail.Handler and does nothing.
 func (c *fleetCollector) CaughtUp(time.Duration) {}
 
-// actors knows of the entries that have acted.
+// actors looks up the processes that have sent commands to hosts.
 type actors interface {
-	// Ended reports whether the process of an incarnation that acted at a time of
-	// day has ended for certain.
+	// Ended reports whether the process of an incarnation that acted at a time of day has
+	// certainly ended.
 	Ended(incarnation string, acted time.Time) bool
 	// ClockOf returns the clock of an incarnation, if it is known.
 	ClockOf(incarnation string) (jaymember.PeerClock, bool)
 }
 
-// heldHosts returns until when a new owner must leave hosts alone, since a former
-// one acted on them a moment ago and may do so again.
+// heldHosts returns the hosts that a new owner must not act on yet, each with the time
+// until then: a former owner sent a command to them recently and may send it again.
 func (c *fleetCollector) heldHosts(guard jayfleet.Guard, actors actors, t jayfleet.Takeover) map[string]time.Duration {
 	held := map[string]time.Duration{}
 	for host, command := range c.commands {
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -19,7 +19,7 @@
 	"jaythread/jaywire"
 )
 
-// HTTP statuses of the intake's own answers.
+// HTTP status codes of the intake's own errors.
 const (
 	statusBadRequest  = 400
 	statusNotFound    = 404
@@ -29,14 +29,15 @@
 )
 
 const (
-	// stuckAfter is how long an append may wait for its answer before new jobs
-	// are refused at once.
+	// stuckAfter is the least time that an append may wait for its answer before new jobs
+	// are rejected at once.
 	stuckAfter = 600 * time.Millisecond
-	// stuckLatencies is the same in appends, for a store that is slow.
+	// stuckLatencies is the same limit as a multiple of the store's append latency. The
+	// larger of the two applies, so that a slow store does not count as stuck.
 	stuckLatencies = 4
 )
 
-// intake is what callers ask of the job service.
+// intake accepts jobs from callers and writes them to the store.
 type intake struct {
 	node     *Node
 	logger   logr.Logger
@@ -59,12 +60,12 @@
 	}
 }
 
-// Submit accepts a job: it returns nil once the job is stored. Its error is a
+// Submit accepts a job and returns nil once the job is stored. Its error is a
 // *jayverdict.Error.
 func (n *Node) Submit(job *jayspec.Job, deadline time.Duration) error {
 	started := n.clock()
 	err := n.intake.submit(job, deadline)
-	n.answered("submit", started, err)
+	n.countAnswer("submit", started, err)
 	took := n.clock() - started
 	if err != nil {
 		n.intake.logger.Info("job not accepted", "job", job.ID, "queue", job.Queue, "pool", job.Pool, "took", took.String(), "error", err.Error())
@@ -74,11 +75,11 @@
 	return nil
 }
 
-// submit stores a job. The owner of its pool groups the jobs of all entries
-// into few appends: the store takes the appends to a partition one after the
-// other, so that a slow store would serve each of eight entries only every
-// eighth time. An entry that does not reach the owner appends by itself; the
-// same job stored twice is one job.
+// submit stores a job through the owner of its pool, or directly if the owner cannot be
+// reached. The owner groups the jobs of all entries into few appends: the store processes
+// the appends to a partition one after the other, so that with a slow store and eight
+// entries that append by themselves, each would have only every eighth append. Storing a
+// job twice is harmless, since the records have the same key.
 func (i *intake) submit(job *jayspec.Job, deadline time.Duration) error {
 	if err := job.Check(); err != nil {
 		return jayverdict.NewNotRun(statusBadRequest, err.Error(), 0)
@@ -89,24 +90,24 @@
 	}
 	until, outageWait := i.node.clock()+deadline, outageWaitOf(job, deadline)
 	final, outcome := i.storeAtOwner(job.Pool, job.ID, value, deadline, outageWait)
-	if final || i.node.clock() >= until || i.storeAway() {
+	if final || i.node.clock() >= until || i.storeUnreachable() {
 		return i.submitError(outcome)
 	}
 	own := i.store(job.Pool, job.ID, value, until-i.node.clock(), outageWait)
 	if errors.Is(outcome, jayport.ErrNoAnswer) && own != nil {
-		// The owner may have stored it, whatever became of the second try.
+		// The owner may have stored the job, although this entry's own append failed.
 		return i.submitError(outcome)
 	}
 	return i.submitError(own)
 }
 
-// storeAtOwner asks the owner of a pool to store a job. Its errors are
-// jayport.ErrNotDone and jayport.ErrNoAnswer.
+// storeAtOwner asks the owner of a pool to store a job. Its errors are jayport.ErrNotDone
+// and jayport.ErrNoAnswer.
 //
-// The outcome is final if this entry should not try an append of its own. An
-// owner that turns a job away while it has word from the store does so because
-// the store is slow: appends of all entries beside the owner's would have the
-// partition, which takes them one by one, turn all of them away.
+// The outcome is final if this entry should not append the job itself. An owner that can
+// reach the store and still rejects a job does so because the store is slow. If all
+// entries then appended as well, the partition, which processes appends one by one, would
+// reject the appends of all of them.
 func (i *intake) storeAtOwner(pool, id string, value []byte, deadline, outageWait time.Duration) (final bool, err error) {
 	c, owned := i.node.members.Owners.Of(jayowner.PoolDuty(pool))
 	if !owned {
@@ -116,11 +117,11 @@
 		return true, i.store(pool, id, value, deadline, outageWait)
 	}
 	if i.node.members.Liveness.Suspects(c.Incarnation) {
-		// An owner that does not answer pings would keep the caller waiting until
-		// the request times out; the job is stored as well without it.
+		// A request to an owner that does not answer pings would block the caller until
+		// the request times out. The job can be stored without the owner.
 		return false, jayport.ErrNotDone
 	}
-	// Some time is left for an append of this entry's own.
+	// The rest of the deadline is left for an append by this entry.
 	timeout := min(deadline*ownerShare/100, storeJobTimeout)
 	request := &jaywire.StoreJob{Pool: pool, Job: id, Declaration: value, TimeoutMillis: timeout.Milliseconds(), OutageWaitMillis: outageWait.Milliseconds()}
 	response, err := i.askOwner(c, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_StoreJob{StoreJob: request}})
@@ -135,16 +136,17 @@
 	return err == nil || !stored.GetStoreAway(), err
 }
 
-// errSuspected is reported for a request to an owner that does not answer pings any
-// more.
-var errSuspected = fmt.Errorf("%w: the owner is suspected", jayport.ErrNoAnswer)
+// errSuspected is returned for a request to an owner that no longer answers pings.
+var errOwnerSuspected = fmt.Errorf("%w: the owner of the pool does not answer pings", jayport.ErrNoAnswer)
 
-// suspectLook is between two looks whether an owner that is asked is suspected.
-const suspectLook = 20 * time.Millisecond
+// suspectPollInterval is the time between two checks whether the owner that a request was
+// sent to is suspected.
+const suspectPollInterval = 20 * time.Millisecond
 
-// askOwner asks an owner, until it is suspected. What it may have done then is done
-// again, since a job stored twice is one job. Waiting until the request times out
-// would leave no time for that, and callers without an answer when an owner loses power.
+// askOwner sends a request to an owner and returns early once the owner is suspected. The
+// caller then stores the job itself; storing it twice is harmless. Waiting for the
+// request to time out would leave no time for that, and callers would get no answer when
+// an owner loses power.
 func (i *intake) askOwner(c jayowner.Claim, request *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
 	type outcome struct {
 		response *jaywire.PeerResponse
@@ -156,7 +158,7 @@
 		i.node.members.Liveness.Pinged(c.Incarnation, err)
 		answered <- outcome{response, err}
 	}()
-	look := time.NewTicker(suspectLook)
+	look := time.NewTicker(suspectPollInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -164,25 +166,24 @@
 			return o.response, o.err
 		case <-look.C:
 			if i.node.members.Liveness.Suspects(c.Incarnation) {
-				return nil, errSuspected
+				return nil, errOwnerSuspected
 			}
 		}
 	}
 }
 
-// store appends a job and hands it to the pool's duty, if it is here. It waits for
-// as long as it may while the store takes no jobs. Its errors are
-// jayport.ErrNotDone and jayport.ErrNoAnswer.
+// store appends a job and passes it to the pool's duty, if this entry owns the pool.
+// While the store accepts no jobs, it retries for as long as the job may wait. Its errors
+// are jayport.ErrNotDone and jayport.ErrNoAnswer.
 //
-// The owner reads all jobs from the store as well. But a read can be held up
-// while appends go on: jobs that were accepted then began only when it had timed
-// out.
+// The owner also reads all jobs from the store, but a read can be blocked while appends
+// go on. Jobs that were accepted would then start only after that read had timed out.
 func (i *intake) store(pool, id string, value []byte, timeout, outageWait time.Duration) error {
 	if i.node.knows(pool, id) {
-		// A job that the owner knows is stored: this is a repeat of a request that
-		// was accepted, or whose answer was lost. While the store takes no append,
-		// refusing it would say that the job never runs; while it is slow, each
-		// append more makes it slower.
+		// A job that the owner knows is stored already: the caller repeats a request that
+		// was accepted, or whose answer was lost. Rejecting it while the store accepts no
+		// appends would claim that the job never runs, and another append would make a
+		// slow store slower.
 		return nil
 	}
 	began := i.node.clock()
@@ -193,23 +194,23 @@
 		if err == nil {
 			i.node.declareStored(pool, id, value)
 		}
-		if !errors.Is(err, jayport.ErrNotDone) || i.node.clock()+rejectedPause >= waitUntil {
+		if !errors.Is(err, jayport.ErrNotDone) || i.node.clock()+rejectedRetryDelay >= waitUntil {
 			return err
 		}
-		time.Sleep(rejectedPause)
+		time.Sleep(rejectedRetryDelay)
 	}
 }
 
-// rejectedPause is before a job is appended again that the store has rejected.
-const rejectedPause = 100 * time.Millisecond
+// rejectedRetryDelay is the delay before a job that the store rejected is appended again.
+const rejectedRetryDelay = 100 * time.Millisecond
 
-// outage is for how long the store has taken no jobs of a pool, as far as this entry
-// knows.
+// outage returns for how long the store has accepted no jobs of a pool, as far as this
+// entry knows.
 func (i *intake) outage(pool string) time.Duration {
 	return max(i.journals[i.node.partitionOf(pool)].StuckFor(), i.node.store.LostFor())
 }
 
-// append appends a job. Behind an append that is stuck it waits until it may wait no longer.
+// append appends a job. Behind an append that is stuck, the job waits until waitUntil.
 // Its errors are those of store.
 func (i *intake) append(pool, id string, value []byte, timeout, waitUntil time.Duration) error {
 	journal := i.journals[i.node.partitionOf(pool)]
@@ -223,7 +224,7 @@
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	look := time.NewTicker(stuckLook)
+	look := time.NewTicker(stuckPollInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -233,8 +234,8 @@
 			}
 			return jayport.ErrNoAnswer
 		case <-look.C:
-			// A job behind an append that is stuck is refused once it cannot be done
-			// in time any more, not kept waiting.
+			// A job behind a stuck append is rejected once it cannot be done in time any
+			// more, instead of keeping its caller waiting.
 			if i.stuck(journal) && i.node.clock() >= waitUntil && entry.Withdraw() {
 				return jayport.ErrNotDone
 			}
@@ -247,42 +248,44 @@
 	}
 }
 
-// stuckLook is between two looks whether an append is stuck.
-const stuckLook = 50 * time.Millisecond
+// stuckPollInterval is the time between two checks whether an append is stuck.
+const stuckPollInterval = 50 * time.Millisecond
 
-// stuck reports whether the present append of a journal waits for its answer for
+// stuck reports whether the current append of a journal has waited for its answer for
 // longer than appends take at present.
 func (i *intake) stuck(journal *jayjournal.Journal) bool {
 	return journal.StuckFor() > max(stuckAfter, stuckLatencies*i.node.store.Latency())
 }
 
-// awayAfter is how long this entry may be without word from the store before it
-// tries no append of its own for a job: it reads the claims all the time, and
-// such a read waits for jaymember.ClaimsWait at most.
-const awayAfter = jaymember.ClaimsWait + 800*time.Millisecond
+// storeSilenceLimit is how long this entry may be without an answer from the store before
+// it stops appending jobs itself. It reads the claims all the time, and such a read waits
+// for at most jaymember.ClaimsWait.
+const storeSilenceLimit = jaymember.ClaimsWait + 800*time.Millisecond
 
-// storeAway reports whether this entry has no word from the store. An append
-// that gets no answer would leave the caller without one until its deadline.
-func (i *intake) storeAway() bool {
+// storeUnreachable reports whether this entry has had no answer from the store for too
+// long. An append without an answer would leave the caller without one until its
+// deadline.
+func (i *intake) storeUnreachable() bool {
 	view := i.node.members.Owners.View()
 	if view == nil {
 		return true
 	}
 	lastWord := max(view.AsOf, i.node.store.RegainedAt())
-	return i.node.clock()-lastWord > awayAfter
+	return i.node.clock()-lastWord > storeSilenceLimit
 }
 
-// storeFor stores a job for a peer.
+// storeFor stores a job on behalf of a peer.
 func (i *intake) storeFor(ask *jaywire.StoreJob) *jaywire.JobStored {
 	err := i.store(ask.Pool, ask.Job, ask.Declaration, millis(ask.TimeoutMillis), millis(ask.OutageWaitMillis))
-	return &jaywire.JobStored{Outcome: jayrelay.OutcomeOf(err), StoreAway: i.storeAway()}
+	return &jaywire.JobStored{Outcome: jayrelay.OutcomeOf(err), StoreAway: i.storeUnreachable()}
 }
 
 const (
-	// storeJobTimeout bounds a request to an owner to store a job. Behind a slow
-	// store a job waits for the append before its own.
+	// storeJobTimeout limits the duration of a request to an owner to store a job. If the
+	// store is slow, the job waits for the append before its own.
 	storeJobTimeout = 2200 * time.Millisecond
-	// ownerShare is the share of a caller's time, in percent, that the owner gets.
+	// ownerShare is the share of a caller's deadline, in percent, for the request to the
+	// owner.
 	ownerShare = 70
 )
 
--- a/jaynode/intake_test.go
+++ b/jaynode/intake_test.go
@@ -19,7 +19,7 @@
 	"jaythread/jayverdict"
 )
 
-// onePartition is what an intake asks of the formats.
+// onePartition has one partition for each topic; an intake needs no other formats.
 type onePartition struct{ jayport.Formats }
 
 func (onePartition) OwnPartitions() int { return 1 }
@@ -28,11 +28,10 @@
 	return jayport.Partition{Topic: topic, Number: number}
 }
 
-func TestJobIsNotHandedToAnOwnerThatDoesNotAnswer(t *testing.T) {
-	// Symptom: jobs are accepted only after a second and a half.
-	// Sequence: the machine of a pool's owner stops answering; until another entry
-	// owns the pool, each job that comes is handed on to it.
-	// Cause: that the owner had not answered a ping was not looked at.
+func TestStoreAtOwnerSkipsSuspectedOwner(t *testing.T) {
+	// Guards against submissions that take a second and a half after the machine of a
+	// pool's owner stops answering: until another entry owned the pool, each job was
+	// still sent to the owner, although it had not answered a ping.
 	is := is.New(t)
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -50,12 +49,11 @@
 	is.True(time.Since(began) < 100*time.Millisecond)
 }
 
-func TestOwnerThatFallsSilentIsNotWaitedFor(t *testing.T) {
-	// Symptom: 62 callers wait for two seconds and get no answer.
-	// Sequence: their jobs are handed on to the owner of the pool, whose machine
-	// loses power at that moment; the next owner is known 1.5 s later.
-	// Cause: a request to an owner was waited for until it timed out, though pings
-	// had failed meanwhile, and no time was left to store the job without it.
+func TestStoreAtOwnerReturnsWhenOwnerIsSuspected(t *testing.T) {
+	// Guards against callers without an answer when an owner's machine loses power during
+	// their requests. The request was waited for until it timed out, although pings had
+	// failed meanwhile, and no time was left to store the job directly. In one outage 62
+	// callers waited for two seconds each; the next owner was known after 1.5 s.
 	is := is.New(t)
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -76,7 +74,7 @@
 	is.True(time.Since(began) < time.Second)
 }
 
-// verdictOf returns what a refusal says of whether the job may run.
+// verdictOf returns the verdict of a rejection.
 func verdictOf(t *testing.T, err error) jayverdict.Verdict {
 	t.Helper()
 	var refusal *jayverdict.Error
@@ -84,24 +82,24 @@
 	return refusal.Verdict
 }
 
-// submitToDeafStore submits a job while the store takes appends and none of its answers
-// comes back, some time after another job unless that is zero. It returns what the
-// caller was told, and whether the store has the job in the end.
-func submitToDeafStore(t *testing.T, after time.Duration) (stored bool, err error) {
+// submitWithLostAnswers submits a job while the store accepts appends and all its answers
+// are lost. If after is not zero, the job follows another one after that time. It returns
+// whether the store has the job in the end, and the error that the caller got.
+func submitWithLostAnswers(t *testing.T, after time.Duration) (stored bool, err error) {
 	t.Helper()
 	clock := jayclock.Since(time.Now().Add(-time.Hour))
 	e := newTestEntry(t, "e1", newSharedStore(), newSharedHosts(clock, nil), clock)
-	e.owns()
+	e.setClaims()
 	ctx, cancel := context.WithCancel(context.Background())
 	e.node.intake.start(ctx)
-	e.store.set(func(w *storeWay) { w.deaf = true })
+	e.store.set(func(w *faultyStore) { w.loseAnswers = true })
 	if after > 0 {
 		go func() { _ = e.node.Submit(jobOf("00000000000000aa", time.Millisecond), 500*time.Millisecond) }()
 		time.Sleep(after)
 	}
 	err = e.node.Submit(jobOf(testID, time.Second), 2*time.Second)
-	e.store.set(func(w *storeWay) { w.deaf = false })
-	time.Sleep(20 * time.Second) // what is under way comes to its end
+	e.store.set(func(w *faultyStore) { w.loseAnswers = false })
+	time.Sleep(20 * time.Second) // lets pending calls return
 	cancel()
 	e.node.duties.Wait()
 	for _, r := range e.store.store.latest(jayport.Partition{Topic: topicJobs}, "").Records {
@@ -110,35 +108,35 @@
 	return stored, err
 }
 
-func TestRefusalsAreTrue(t *testing.T) {
-	// Symptom: a caller is told that its job was not accepted, and the job runs.
+func TestSubmitVerdictsAfterLostAnswers(t *testing.T) {
+	// Guards against telling a caller that its job was not accepted although it runs.
 	synctest.Test(t, func(t *testing.T) {
-		// Sequence: the store takes the job and its answers are lost until the caller's
-		// time is over.
-		// Cause: an append that is under way was taken for one that was withdrawn.
+		// The store accepts the job and its answers are lost until the caller's deadline.
+		// An append in flight must not be taken for a withdrawn one.
 		is := is.New(t)
-		stored, err := submitToDeafStore(t, 0)
+		stored, err := submitWithLostAnswers(t, 0)
 		is.Equal(verdictOf(t, err), jayverdict.MayHaveRun)
 		is.True(stored)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		// Behind an append without an answer a job is not sent, and is refused truly.
+		// A job behind an append without an answer is not sent, so that the rejection is
+		// correct.
 		is := is.New(t)
-		stored, err := submitToDeafStore(t, 50*time.Millisecond)
+		stored, err := submitWithLostAnswers(t, 50*time.Millisecond)
 		is.Equal(verdictOf(t, err), jayverdict.NotRun)
 		is.True(!stored)
 	})
 	t.Run("owner without an answer, own append rejected", func(t *testing.T) {
-		// Sequence: the owner of the pool is asked to store the job and falls silent; the
-		// entry's own append is rejected.
-		// Cause: the second outcome was answered, the first forgotten.
+		// The pool's owner is asked to store the job and stops answering; the entry's own
+		// append is then rejected. The unknown outcome of the first request must be
+		// returned, not the second outcome.
 		is := is.New(t)
 		silent, err := net.Listen("tcp4", "127.0.0.1:0")
 		is.NoErr(err)
 		defer func() { _ = silent.Close() }()
 		clock := jayclock.Boot
 		e := newTestEntry(t, "e1", newSharedStore(), newSharedHosts(clock, nil), clock)
-		e.store.set(func(w *storeWay) { w.refuse = true })
+		e.store.set(func(w *faultyStore) { w.refuse = true })
 		claims := jayowner.NewTable()
 		is.NoErr(claims.Apply(jayowner.Claim{Duty: jayowner.PoolDuty("seats"), Incarnation: "e2-x", PeerAddr: silent.Addr().String(), Term: 1}.Record()))
 		e.node.members.Owners.Publish(&jaymember.View{Table: claims, AsOf: clock()})
--- a/jaynode/members.go
+++ b/jaynode/members.go
@@ -5,7 +5,7 @@
 	"jaythread/jayowner"
 )
 
-// newMembers returns the membership of an entry, which claims its duties.
+// newMembers returns the membership of an entry, which also claims duties for it.
 func newMembers(n *Node) *jaymember.Members {
 	return jaymember.New(jaymember.Options{
 		Entry:           n.settings.Entry,
@@ -24,12 +24,12 @@
 		Duties:          n.dueDuties,
 		Owns:            n.ownsSomething,
 		Stopping:        n.stopping.Load,
-		ClaimsRead:      n.matchDuties,
+		ClaimsRead:      n.reconcileDuties,
 		Go:              n.duties.Go,
 	})
 }
 
-// dueDuties are those that should have an owner now.
+// dueDuties returns the duties that should have an owner under the catalog in force.
 func (n *Node) dueDuties() []jayowner.Duty {
 	c := n.Catalog()
 	if c == nil {
--- a/jaynode/meters.go
+++ b/jaynode/meters.go
@@ -11,7 +11,7 @@
 	"jaythread/jayverdict"
 )
 
-// metered returns the ports with each call counted.
+// metered wraps the ports so that each call is counted in the metrics.
 func metered(ports Ports, m *jaymetric.Jobs, clock jayclock.Clock) Ports {
 	ports.Store = &meteredStore{Store: ports.Store, metrics: m, clock: clock}
 	ports.Workers = &meteredWorkers{Workers: ports.Workers, metrics: m, clock: clock}
@@ -19,7 +19,7 @@
 	return ports
 }
 
-// outcomeOf is the label of a call's outcome.
+// outcomeOf returns the metric label for the outcome of a call.
 func outcomeOf(err error) string {
 	switch {
 	case err == nil:
@@ -33,14 +33,14 @@
 	}
 }
 
-// meteredStore counts the calls to the store.
+// meteredStore counts and times the calls to the store.
 type meteredStore struct {
 	jayport.Store
 	metrics *jaymetric.Jobs
 	clock   jayclock.Clock
 }
 
-// Append adds records.
+// Append adds records to a partition.
 func (s *meteredStore) Append(a jayport.Append, timeout time.Duration) (jayport.Appended, error) {
 	began := s.clock()
 	appended, err := s.Store.Append(a, timeout)
@@ -56,7 +56,7 @@
 	return page, err
 }
 
-// Latest returns the newest records.
+// Latest returns the newest record of each key after a key.
 func (s *meteredStore) Latest(p jayport.Partition, after string, timeout time.Duration) (jayport.Latest, error) {
 	began := s.clock()
 	latest, err := s.Store.Latest(p, after, timeout)
@@ -64,7 +64,7 @@
 	return latest, err
 }
 
-// meteredWorkers counts the orders to workers.
+// meteredWorkers counts and times the orders to workers.
 type meteredWorkers struct {
 	jayport.Workers
 	metrics *jaymetric.Jobs
@@ -87,7 +87,7 @@
 	return clock, err
 }
 
-// Throttle sets the share of its speed at which a run works.
+// Throttle sets the speed of a run as a share of its full speed.
 func (w *meteredWorkers) Throttle(to jayport.WorkerRef, o jayport.ThrottleOrder, timeout time.Duration) (time.Duration, error) {
 	began := w.clock()
 	clock, err := w.Workers.Throttle(to, o, timeout)
@@ -95,7 +95,7 @@
 	return clock, err
 }
 
-// Renew renews the lease and returns the worker's report.
+// Renew renews a worker's lease and returns its report.
 func (w *meteredWorkers) Renew(to jayport.WorkerRef, o jayport.LeaseOrder, timeout time.Duration) (jayport.Report, error) {
 	began := w.clock()
 	report, err := w.Workers.Renew(to, o, timeout)
@@ -109,7 +109,7 @@
 	metrics *jaymetric.Jobs
 }
 
-// Move brings a host up in another pool.
+// Move assigns a host to another pool.
 func (i *meteredInventory) Move(host, pool string, lease jayport.Lease, timeout time.Duration) error {
 	err := i.Inventory.Move(host, pool, lease, timeout)
 	i.metrics.HostCommanded("move", outcomeOf(err))
@@ -123,8 +123,8 @@
 	return err
 }
 
-// answered counts an answer to a caller.
-func (n *Node) answered(call string, began time.Duration, err error) {
+// countAnswer counts an answer to a caller by its outcome.
+func (n *Node) countAnswer(call string, began time.Duration, err error) {
 	outcome := "ok"
 	var verdict *jayverdict.Error
 	if errors.As(err, &verdict) {
@@ -133,8 +133,8 @@
 	n.metrics.Answered(call, outcome, n.clock()-began)
 }
 
-// meter counts what a pool has decided or learned.
-func (d *poolDuty) meter(note jaysched.Note) {
+// countEvent counts an event of a pool.
+func (d *poolDuty) countEvent(note jaysched.Note) {
 	m := d.node.metrics
 	m.PoolEvent(d.name, string(note.Kind))
 	switch note.Kind {
@@ -145,7 +145,7 @@
 	}
 }
 
-// registerGauges adds what is read when the metrics are scraped.
+// registerGauges registers the gauges that are computed when the metrics are scraped.
 func (n *Node) registerGauges() {
 	n.metrics.Gauge("jaythread_duties", "Duties that this entry carries out.", func() float64 {
 		n.mu.Lock()
--- a/jaynode/node.go
+++ b/jaynode/node.go
@@ -20,17 +20,17 @@
 	"jaythread/jaywire"
 )
 
-// The topics that the job service keeps on the platform's store.
+// Topics of the job service in the platform's store.
 const (
-	// topicJobs holds what callers have submitted, a key for each job, in the
+	// topicJobs holds the declarations of submitted jobs, one key per job, in the
 	// partition of the job's pool. Every entry appends to it.
 	topicJobs = "jobs"
-	// topicProgress holds how far each job has come. Only the owner of its
-	// pool appends to it.
+	// topicProgress holds the progress of each job. Only the owner of the job's pool
+	// appends to it.
 	topicProgress = "progress"
 )
 
-// Ports are what an entry uses of the platform.
+// Ports are the interfaces to the platform that an entry uses.
 type Ports struct {
 	Store     jayport.Store
 	Workers   jayport.Workers
@@ -39,11 +39,11 @@
 	Formats   jayport.Formats
 }
 
-// Node is one entry of the job service.
+// Node is an entry, one server of the job service.
 type Node struct {
 	settings Settings
 	ports    Ports
-	// store reaches the platform's store, through peers if need be.
+	// store calls the platform's store, through peers if it cannot be reached directly.
 	store       *jayrelay.Store
 	relayPeers  *relayPeers
 	clock       jayclock.Clock
@@ -51,7 +51,7 @@
 	metrics     *jaymetric.Jobs
 	incarnation string
 	started     time.Time
-	// startedAt is the same on the node's clock.
+	// startedAt is the same moment on the node's clock.
 	startedAt time.Duration
 
 	declarations *declarations
@@ -70,32 +70,32 @@
 	duties   sync.WaitGroup
 }
 
-// Option changes how a node is made.
+// Option configures a node.
 type Option func(*Node)
 
-// WithClock replaces the boot clock, for tests.
+// WithClock replaces the boot clock in tests.
 func WithClock(clock jayclock.Clock) Option {
 	return func(n *Node) { n.clock = clock }
 }
 
-// WithMetrics counts in the metrics given.
+// WithMetrics sets the metrics that the node updates.
 func WithMetrics(m *jaymetric.Jobs) Option {
 	return func(n *Node) { n.metrics = m }
 }
 
 const (
-	// peerTimeout bounds a request to a peer.
+	// peerTimeout limits the duration of a request to a peer.
 	peerTimeout = 700 * time.Millisecond
-	// declarationsWait is for how long a read of the operators' declarations may wait.
-	// A change ends the wait at once; a connection that went silent is found out
-	// after it.
+	// declarationsWait is how long a read of the operators' declarations waits for a new
+	// record. A record ends the wait at once; a connection that no longer answers is
+	// noticed only when the wait is over.
 	declarationsWait = time.Second
-	// reportsPause is between two looks at the workers' reports: a draining worker
-	// gets tasks until its report is read.
-	reportsPause = 300 * time.Millisecond
+	// reportsReadDelay is the delay between two reads of the workers' reports. A draining
+	// worker still gets tasks until its report is read.
+	reportsReadDelay = 300 * time.Millisecond
 )
 
-// New returns a node that is not started.
+// New returns a node; Start starts it.
 func New(settings Settings, ports Ports, logger logr.Logger, options ...Option) *Node {
 	n := &Node{
 		settings:    settings,
@@ -125,7 +125,7 @@
 	return n
 }
 
-// Start opens the peers' listener and starts the duties.
+// Start listens for peers and starts the node's goroutines.
 func (n *Node) Start(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", n.settings.PeerAddr)
 	if err != nil {
@@ -135,7 +135,7 @@
 	n.logger.Info("started", "incarnation", n.incarnation)
 	n.duties.Go(func() { n.peerServer.Serve(listener, nil) })
 	n.follow(ctx, n.ports.Formats.Declarations(), jaytail.Options{Wait: declarationsWait}, n.declarations)
-	n.follow(ctx, n.ports.Formats.Reports(), jaytail.Options{Pause: reportsPause, Needed: n.ownsSomething, Hurry: n.crowded}, n.reports)
+	n.follow(ctx, n.ports.Formats.Reports(), jaytail.Options{Pause: reportsReadDelay, Needed: n.ownsSomething, Hurry: n.crowded}, n.reports)
 	n.members.Start(ctx)
 	n.intake.start(ctx)
 	return nil
@@ -145,25 +145,25 @@
 	return jaytail.New(n.store, p, options, handler, n.clock, n.logger.WithName(p.Topic))
 }
 
-// follow hands the records of a partition to a handler until the context ends.
+// follow passes the records of a partition to a handler until the context ends.
 func (n *Node) follow(ctx context.Context, p jayport.Partition, options jaytail.Options, handler jaytail.Handler) {
 	tail := n.newTail(p, options, handler)
 	n.duties.Go(func() { tail.Run(ctx) })
 }
 
-// Leave gives up all duties. Each is carried out until its next owner has
-// claimed it, and callers are still answered.
+// Leave releases all duties of this entry. It performs each of them until another entry
+// has claimed it, and still answers callers.
 func (n *Node) Leave() {
 	n.stopping.Store(true)
 	n.logger.Info("leaving")
 	n.members.Owners.Release()
 }
 
-// lastCalls is how long a stop waits for calls under way. Reads of the store wait
-// for records for seconds; nobody needs their answers any more.
-const lastCalls = 300 * time.Millisecond
+// stopTimeout is how long Stop waits for pending calls. Reads of the store can wait for
+// records for seconds, and their results are not needed any more.
+const stopTimeout = 300 * time.Millisecond
 
-// Stop ends the node.
+// Stop ends all duties and closes all connections.
 func (n *Node) Stop() {
 	n.stopping.Store(true)
 	n.endDuties()
@@ -181,12 +181,12 @@
 	select {
 	case <-ended:
 		n.logger.Info("stopped")
-	case <-time.After(lastCalls):
-		n.logger.Info("stopped with calls under way")
+	case <-time.After(stopTimeout):
+		n.logger.Info("stopped while calls were pending")
 	}
 }
 
-// Catalog returns the catalog in force, or nil before the first one is known.
+// Catalog returns the catalog in force, or nil if none has been read yet.
 func (n *Node) Catalog() *jaycatalog.Catalog {
 	return n.declarations.catalog.Load()
 }
@@ -196,15 +196,15 @@
 	return n.Catalog() != nil && n.members.Owners.Known() && !n.stopping.Load()
 }
 
-// ownedPool returns the duty of a pool that this entry owns, or nil.
+// ownedPool returns the duty of a pool, or nil if this entry does not own the pool.
 func (n *Node) ownedPool(pool string) *poolDuty {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.pools[pool]
 }
 
-// crowded reports whether tasks of a pool that this entry owns wait for room: a
-// worker that has just come is then wanted at once.
+// crowded reports whether tasks of a pool that this entry owns wait for free capacity.
+// New workers are then needed at once.
 func (n *Node) crowded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -216,14 +216,14 @@
 	return false
 }
 
-// ownsSomething reports whether this entry carries out a duty.
+// ownsSomething reports whether this entry owns any duty.
 func (n *Node) ownsSomething() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.pools) > 0 || n.fleet != nil
 }
 
-// handlePeer answers a request of a peer.
+// handlePeer answers a request from a peer.
 func (n *Node) handlePeer(request *jaywire.PeerRequest) *jaywire.PeerResponse {
 	switch body := request.Body.(type) {
 	case *jaywire.PeerRequest_AskJob:
--- a/jaynode/outagewait.go
+++ b/jaynode/outagewait.go
@@ -7,42 +7,42 @@
 )
 
 const (
-	// outageWaitShare is the share of a caller's time, in percent, for which a job may wait
-	// for a store that takes none: a caller that is rejected after that can still
-	// come again.
+	// outageWaitShare is the share of a caller's deadline, in percent, that a job may
+	// wait for a store that accepts no jobs. The rest leaves the caller time to retry
+	// after a rejection.
 	outageWaitShare = 45
-	// longestOutage is how long an outage may have lasted before jobs are refused at
-	// once: one that has lasted for so long seldom ends within the time that a job
-	// could wait.
-	longestOutage = 5 * time.Second
-	// retryLeast and retryMost bound what a caller is told to wait while the store
-	// takes no jobs.
-	retryLeast = time.Second
-	retryMost  = 5 * time.Second
+	// maxOutageForWait is the duration of an outage after which jobs are rejected at
+	// once: a longer outage rarely ends within the time that a job can wait.
+	maxOutageForWait = 5 * time.Second
+	// minRetryAfter and maxRetryAfter limit the delay that callers are told to wait while
+	// the store accepts no jobs.
+	minRetryAfter = time.Second
+	maxRetryAfter = 5 * time.Second
 )
 
-// outageWaitOf is for how long a job may wait for a store that takes none: as long as it
-// can still be done in time, by the sizes that it declares.
+// outageWaitOf returns how long a job may wait for a store that accepts no jobs: as long
+// as it can still be done in time, according to the estimates of its steps.
 //
-// The load that it answers: a rush in an outage of some seconds. Callers come again a
-// few times and then give up; a job that is rejected at once is lost, though it could
-// have been stored, and done in time, when the store was back.
+// Callers retry a few times and then give up. When many jobs arrive during an outage of
+// some seconds, a job that is rejected at once is lost, although it could have been
+// stored and done in time after the outage.
 func outageWaitOf(job *jayspec.Job, deadline time.Duration) time.Duration {
 	chain := job.LongestChain(func(n int) time.Duration { return job.Steps[n].Estimate })
 	slack := time.Duration((job.Policy.Stretch-1)*float64(chain)) + job.Policy.Objective
 	return max(0, min(slack, deadline*outageWaitShare/100))
 }
 
-// remainingWait is what is left of a job's wait in an outage that has lasted for a time.
+// remainingWait returns how long a job may still wait in an outage that has lasted for a
+// given time.
 func remainingWait(outage, outageWait time.Duration) time.Duration {
-	if outage > longestOutage {
+	if outage > maxOutageForWait {
 		return 0
 	}
 	return outageWait
 }
 
-// retryAfter is what a caller is told to wait: an outage should last about as long
-// again as it has lasted.
+// retryAfter returns the delay that a caller is told to wait: an outage is expected to
+// last about as long again as it already has.
 func retryAfter(outage time.Duration) time.Duration {
-	return min(max(retryLeast, outage), retryMost)
+	return min(max(minRetryAfter, outage), maxRetryAfter)
 }
--- a/jaynode/outagewait_test.go
+++ b/jaynode/outagewait_test.go
@@ -15,7 +15,8 @@
 	"jaythread/jayverdict"
 )
 
-// jobOf is a job of one step that takes a time, with a stretch of 1.6 and 600 ms more.
+// jobOf returns a job of one step with the given estimate, a stretch of 1.6 and an
+// objective of 600 ms.
 func jobOf(id string, takes time.Duration) *jayspec.Job {
 	return &jayspec.Job{
 		ID: id, Queue: "q", Pool: "seats", Accepted: time.Now(),
@@ -27,7 +28,7 @@
 func TestOutageWait(t *testing.T) {
 	is := is.New(t)
 	is.Equal(outageWaitOf(jobOf("j", time.Second), 3*time.Second), 1200*time.Millisecond)
-	is.Equal(outageWaitOf(jobOf("j", 5*time.Second), 3*time.Second), 1350*time.Millisecond) // the caller's time bounds it
+	is.Equal(outageWaitOf(jobOf("j", 5*time.Second), 3*time.Second), 1350*time.Millisecond) // limited by the caller's deadline
 	is.Equal(outageWaitOf(jobOf("j", 0), 3*time.Second), 600*time.Millisecond)
 	is.Equal(remainingWait(time.Second, time.Second), time.Second)
 	is.Equal(remainingWait(6*time.Second, time.Second), time.Duration(0))
@@ -36,26 +37,28 @@
 	is.Equal(retryAfter(time.Minute), 5*time.Second)
 }
 
-// submit submits a job to an entry whose way to the store is in trouble, for a time
-// before and after that; it returns the answer and how long it took.
-func submit(t *testing.T, takes, before, after time.Duration, trouble func(*storeWay, bool)) (took time.Duration, err error) {
+// submitDuringFault starts a fault of an entry's store, submits a job after the time
+// before, and ends the fault after the further time after. It returns the answer to the
+// caller and how long it took.
+func submitDuringFault(t *testing.T, takes, before, after time.Duration, fault func(*faultyStore, bool)) (took time.Duration, err error) {
 	t.Helper()
 	clock := jayclock.Since(time.Now().Add(-time.Hour))
 	e := newTestEntry(t, "e1", newSharedStore(), newSharedHosts(clock, nil), clock)
-	e.owns()
+	e.setClaims()
 	ctx, cancel := context.WithCancel(context.Background())
 	e.node.intake.start(ctx)
-	e.store.set(func(w *storeWay) { trouble(w, true) })
+	e.store.set(func(w *faultyStore) { fault(w, true) })
 	go func() { _ = e.node.Submit(jobOf("00000000000000aa", time.Millisecond), 500*time.Millisecond) }()
 	time.Sleep(before)
 	go func() {
 		time.Sleep(after)
-		e.store.set(func(w *storeWay) { trouble(w, false) })
+		e.store.set(func(w *faultyStore) { fault(w, false) })
 	}()
 	go func() {
-		// The entry hears nothing of the claims meanwhile; it would not try otherwise.
+		// The fault also blocks reads of the claims. Without fresh claims the entry would
+		// treat the store as unreachable and not append at all.
 		for range 100 {
-			e.owns()
+			e.setClaims()
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
@@ -63,14 +66,14 @@
 	err = e.node.Submit(jobOf(testID, takes), 2850*time.Millisecond)
 	took = clock() - began
 	cancel()
-	time.Sleep(after + 20*time.Second) // what is under way comes to its end
+	time.Sleep(after + 20*time.Second) // lets pending calls return
 	e.node.duties.Wait()
 	return took, err
 }
 
-func TestJobsWaitForAStoreThatIsAwayWhileTheyCanBeInTime(t *testing.T) {
-	silent := func(w *storeWay, on bool) { w.cut = on }
-	busy := func(w *storeWay, on bool) { w.refuse = on }
+func TestSubmitDuringStoreOutage(t *testing.T) {
+	silent := func(w *faultyStore, on bool) { w.unreachable = on }
+	busy := func(w *faultyStore, on bool) { w.refuse = on }
 	refused := func(err error) *jayverdict.Error {
 		var refusal *jayverdict.Error
 		if errors.As(err, &refusal) && refusal.Verdict == jayverdict.NotRun {
@@ -78,15 +81,15 @@
 		}
 		return nil
 	}
-	for name, trouble := range map[string]func(*storeWay, bool){"silent": silent, "busy": busy} {
+	for name, fault := range map[string]func(*faultyStore, bool){"silent": silent, "busy": busy} {
 		t.Run("accepted as it returns, "+name, func(t *testing.T) {
-			// Symptom: a fifth of a rush's jobs are lost in an outage of two seconds.
-			// Sequence: the store takes nothing; each job is refused at once; its
-			// caller comes again four times within 2.5 s and is refused again.
-			// Cause: nothing was tried again that could still be done in time.
+			// Guards against losing jobs in a short outage: each job was rejected at
+			// once, and its caller gave up after four retries within 2.5 s. A fifth of
+			// the jobs of a peak load were lost in an outage of two seconds, although
+			// they could still have been done in time.
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				took, err := submit(t, time.Second, time.Second, 700*time.Millisecond, trouble)
+				took, err := submitDuringFault(t, time.Second, time.Second, 700*time.Millisecond, fault)
 				is.NoErr(err)
 				is.True(took < 1700*time.Millisecond)
 			})
@@ -94,7 +97,7 @@
 		t.Run("refused once it cannot be in time, "+name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				took, err := submit(t, time.Second, time.Second, time.Minute, trouble)
+				took, err := submitDuringFault(t, time.Second, time.Second, time.Minute, fault)
 				is.True(refused(err) != nil)
 				is.True(refused(err).RetryAfter >= time.Second)
 				is.True(took < 1400*time.Millisecond)
@@ -103,7 +106,7 @@
 		t.Run("refused at once in a long outage, "+name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				took, err := submit(t, time.Second, 8*time.Second, time.Minute, trouble)
+				took, err := submitDuringFault(t, time.Second, 8*time.Second, time.Minute, fault)
 				is.True(refused(err) != nil)
 				is.True(took < 200*time.Millisecond)
 				is.True(refused(err).RetryAfter >= 5*time.Second)
--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -15,50 +15,49 @@
 )
 
 const (
-	// poolInbox bounds the events that wait for a pool's goroutine.
+	// poolInbox limits the number of events that wait for a pool's goroutine.
 	poolInbox = 8192
-	// poolTick is how often a pool looks at what time alone changes.
+	// poolTick is the time between two steps of a pool's duty if no events arrive.
 	poolTick = 50 * time.Millisecond
-	// jobsWait is for how long a read of the jobs submitted may wait.
+	// jobsWait is how long a read of the submitted jobs waits for a new record.
 	jobsWait = time.Second
-	// jobsPause is between two of them: an owner knows the jobs that it has
-	// stored itself, which are nearly all, and each read is paid for.
-	jobsPause = 100 * time.Millisecond
-	// leaseTime is how long a worker runs on without hearing from the owner.
-	// A new owner takes over within two seconds.
+	// jobsReadDelay is the delay between two such reads. Each read has a cost, and the
+	// owner already knows the jobs that it stored itself, which are nearly all.
+	jobsReadDelay = 100 * time.Millisecond
+	// leaseTime is how long a worker keeps its runs without a renewal by the owner. A new
+	// owner takes over within two seconds.
 	leaseTime = 4 * time.Second
-	// maxSilence is how long an owner goes on without word from the store that
-	// it still owns its pool. It is longer than most outages.
-	maxSilence = 10 * time.Second
-	// formerHold is for how long a former owner's leases may go on after a
-	// claim: it may not know of the claim for maxSilence.
-	formerHold = maxSilence + leaseTime + leaseTime/20
-	// maxUnknownAge is how old a view may be that says that a job does not
-	// exist.
-	maxUnknownAge = 2500 * time.Millisecond
+	// ownershipTimeout is how long an owner goes on without a confirmation from the store
+	// that it still owns its pool. It is longer than most outages.
+	ownershipTimeout = 10 * time.Second
+	// formerLeaseWait is how long after a claim leases of the former owner may still be
+	// valid: the former owner may learn of the claim only after ownershipTimeout.
+	formerLeaseWait = ownershipTimeout + leaseTime + leaseTime/20
+	// maxNotFoundAge is the maximum age of the data on which the answer that a job does
+	// not exist is based.
+	maxNotFoundAge = 2500 * time.Millisecond
 )
 
-// poolDuty runs the tasks of one pool, in one goroutine, as long as this entry
-// owns the pool.
+// poolDuty runs the tasks of one pool, in one goroutine, while this entry owns the pool.
 type poolDuty struct {
 	duty
 	name string
-	// loaded says that the jobs and their progress are known.
+	// loaded is set once the jobs and their progress have been read.
 	loaded atomic.Bool
-	// known are the IDs of the jobs that stand in the store.
+	// known is the set of IDs of the jobs that are in the store.
 	known sync.Map
-	// crowded says that tasks wait for room.
+	// crowded is set while tasks wait for free capacity.
 	crowded atomic.Bool
-	// latency is how long the pool's workers take to answer.
+	// latency measures how long the pool's workers take to answer.
 	latency *jaysched.Latency
 
-	// Only the duty's goroutine uses what follows.
-	pool     *jaysched.Pool
-	jobs     *jobTail
-	flushing bool
-	expireAt time.Duration
-	// steppedAt is when the duty last looked at its events.
-	steppedAt time.Duration
+	// The fields below are used only by the duty's goroutine.
+	pool         *jaysched.Pool
+	jobs         *jobTail
+	flushing     bool
+	nextExpireAt time.Duration
+	// lastActiveAt is when the duty's goroutine last processed an event or began a step.
+	lastActiveAt time.Duration
 }
 
 func newPoolDuty(n *Node, name string, claim jayowner.Claim) *poolDuty {
@@ -72,11 +71,11 @@
 		jaysched.WithFence(claim.Fence, claim.Term),
 		jaysched.WithPolicies(n.policyOf),
 		jaysched.WithDueTimes(n.dueAt),
-		// The claim was read a moment ago; step says since when.
-		jaysched.WithReplaceableOwner(0, maxSilence),
+		// The claim was read a moment ago; updateOwnership sets when.
+		jaysched.WithReplaceableOwner(0, ownershipTimeout),
 	}
 	if claim.Term > 1 {
-		options = append(options, jaysched.WithFormerOwner(n.clock()+formerHold))
+		options = append(options, jaysched.WithFormerOwner(n.clock()+formerLeaseWait))
 	}
 	d.pool = jaysched.NewPool(name, jaysched.Settings{
 		Lease:     min(leaseTime, n.settings.MaxLease),
@@ -88,7 +87,7 @@
 	return d
 }
 
-// policyOf returns the present policy of a queue.
+// policyOf returns the current policy of a queue.
 func (n *Node) policyOf(queue string) (jayspec.Policy, bool) {
 	c := n.Catalog()
 	if c == nil {
@@ -98,14 +97,14 @@
 	return q.Policy, found
 }
 
-// dueAt turns a time of day into the node's clock.
+// dueAt converts a time of day to the node's clock.
 func (n *Node) dueAt(t time.Time) time.Duration {
 	return n.clock() + time.Until(t)
 }
 
-// run takes the pool over and works on it until the duty ends.
+// run takes the pool over and runs its tasks until the duty ends.
 func (d *poolDuty) run() {
-	defer d.node.dropPool(d)
+	defer d.node.removePool(d)
 	if !d.takeOver() {
 		return
 	}
@@ -116,9 +115,10 @@
 	d.loop(poolTick, d.step)
 }
 
-// step takes in all waiting events and acts on what they lead to.
+// step processes all waiting events and performs the actions that the pool decides on.
 func (d *poolDuty) step() {
-	// Jobs are posted before the time up to which they are known moves on.
+	// AsOf is read before the inbox is emptied: the tail posts the jobs that it has read
+	// before it advances AsOf, so that all jobs up to AsOf are processed below.
 	jobsAsOf := d.jobs.tail.AsOf()
 	for {
 		handle, ok := d.inbox.Take()
@@ -126,12 +126,12 @@
 			break
 		}
 		now := d.node.clock()
-		d.noticePause(now)
+		d.detectPause(now)
 		handle(now)
 	}
 	now := d.node.clock()
-	d.noticePause(now)
-	d.noteOwnership()
+	d.detectPause(now)
+	d.updateOwnership()
 	d.pool.JobsKnown(jobsAsOf)
 	d.pool.SetStarts(d.latency.Starts())
 	for _, action := range d.pool.Decide(now) {
@@ -143,8 +143,8 @@
 	d.logNotes()
 }
 
-// ask runs a function in the duty's goroutine and returns when it has run; it
-// returns false if the duty ended or the time passed.
+// ask runs a function in the duty's goroutine and waits for it. It returns false if the
+// inbox is full, the duty has ended or the timeout has passed.
 func (d *poolDuty) ask(do func(), timeout time.Duration) bool {
 	done := make(chan struct{})
 	if !d.inbox.Offer(func(time.Duration) { do(); close(done) }) {
@@ -163,11 +163,11 @@
 }
 
 func (d *poolDuty) workersChanged() {
-	d.post(func(now time.Duration) { d.list(now) })
+	d.post(func(now time.Duration) { d.updateWorkers(now) })
 }
 
-// list hands the newest list of workers to the pool.
-func (d *poolDuty) list(now time.Duration) {
+// updateWorkers passes the current workers to the pool, once the reports have been read.
+func (d *poolDuty) updateWorkers(now time.Duration) {
 	workers, asOf := d.node.reports.of(d.name)
 	if asOf > 0 {
 		d.pool.Listed(workers, now)
@@ -194,8 +194,8 @@
 	}
 }
 
-// throttleRun sends a run's speed. The worker's next report tells whether it came;
-// if it did not, it is sent again.
+// throttleRun sets a run's speed. The worker's next report tells whether the order
+// arrived; if it did not, it is sent again.
 func (d *poolDuty) throttleRun(a jaysched.ThrottleRun) {
 	order := jayport.ThrottleOrder{Run: a.Run, Fence: d.claim.Fence, Percent: a.Percent}
 	_, err := d.node.ports.Workers.Throttle(a.To, order, d.latency.OrderTimeout())
@@ -205,8 +205,8 @@
 	d.post(func(now time.Duration) { d.workerEnded(a.To, err, now) })
 }
 
-// adviceTimeout bounds a request to the advisor: it answers those of one
-// caller in turn, each after some hundred milliseconds.
+// adviceTimeout limits the duration of a request to the advisor. The advisor answers the
+// requests of one caller one after the other, each after some hundred milliseconds.
 const adviceTimeout = 3 * time.Second
 
 func (d *poolDuty) askAdvice(a jaysched.AskAdvice) {
@@ -246,7 +246,7 @@
 	asked := d.node.clock()
 	report, err := d.node.ports.Workers.Renew(a.To, a.Order, d.latency.ReportTimeout())
 	if errors.Is(err, jayport.ErrForeign) {
-		d.logger.Info("report not read", "worker", a.To.ID, "error", err.Error())
+		d.logger.Info("worker report cannot be decoded", "worker", a.To.ID, "error", err.Error())
 	}
 	d.post(func(now time.Duration) {
 		switch {
@@ -259,8 +259,8 @@
 	})
 }
 
-// workerEnded looks at a refusal for what it says of the worker's incarnation or of this
-// owner's fence.
+// workerEnded handles a refusal that shows that the worker's process was replaced or that
+// this owner was replaced. It reports whether the error was such a refusal.
 func (d *poolDuty) workerEnded(to jayport.WorkerRef, err error, now time.Duration) bool {
 	var refused *jayport.RefusedError
 	if !errors.As(err, &refused) {
@@ -278,7 +278,7 @@
 	}
 }
 
-// flush records what has changed, one append at a time.
+// flush writes the changed progress of the pool's jobs, one append at a time.
 func (d *poolDuty) flush() {
 	if d.flushing || !d.pool.Recordable(d.node.clock()) {
 		return
@@ -298,7 +298,7 @@
 		d.post(func(now time.Duration) {
 			d.flushing = false
 			if err == nil {
-				d.pool.Owned(asked + d.unclaimed())
+				d.pool.Owned(asked + d.minTakeoverTime())
 				d.pool.Flushed(batch, now)
 			}
 		})
@@ -310,7 +310,7 @@
 
 func (d *poolDuty) logNotes() {
 	for _, note := range d.pool.Notes() {
-		d.meter(note)
+		d.countEvent(note)
 		values := []any{"at", note.At.String()}
 		if note.Job != "" {
 			values = append(values, "job", note.Job)
--- a/jaynode/poolduty_test.go
+++ b/jaynode/poolduty_test.go
@@ -13,9 +13,8 @@
 	"jaythread/jayport"
 )
 
-// poolWorld is the owner of a pool with two workers, of which one is silent, and a
-// job that was submitted.
-type poolWorld struct {
+// poolFixture is the owner of a pool with two workers and one submitted job.
+type poolFixture struct {
 	clock   jayclock.Clock
 	entry   *testEntry
 	workers *fakeWorkers
@@ -23,7 +22,7 @@
 	claim   jayowner.Claim
 }
 
-func newPoolWorld(t *testing.T, term int64, silent ...string) *poolWorld {
+func newPoolFixture(t *testing.T, term int64, silent ...string) *poolFixture {
 	t.Helper()
 	clock := jayclock.Since(time.Now().Add(-time.Hour))
 	store := newSharedStore()
@@ -31,7 +30,7 @@
 	for _, id := range []string{"w0", "w1"} {
 		hosts.hosts[id] = jayport.Host{Name: id, Pool: "seats", State: jayport.HostUp, Worker: id}
 	}
-	w := &poolWorld{clock: clock, entry: newTestEntry(t, "e1", store, hosts, clock)}
+	w := &poolFixture{clock: clock, entry: newTestEntry(t, "e1", store, hosts, clock)}
 	w.workers = newFakeWorkers(clock, silent...)
 	w.entry.node.ports.Workers = w.workers
 	job := jayport.Append{Partition: jayport.Partition{Topic: topicJobs}, Records: []jayport.Record{{Key: jobKey("seats", testID), Value: storedJob(t)}}, AsOf: jayport.AnyOffset}
@@ -44,67 +43,65 @@
 	w.entry.node.reports.asOf = clock()
 	w.claim = w.entry.claim(jayowner.PoolDuty("seats"), 1, term)
 	w.duty = newPoolDuty(w.entry.node, "seats", w.claim)
-	w.hear()
+	w.refreshClaims()
 	w.entry.node.duties.Go(w.duty.run)
 	t.Cleanup(func() {
 		w.duty.cancel()
 		w.entry.node.duties.Wait()
-		time.Sleep(20 * time.Second) // what is under way comes to its end
+		time.Sleep(20 * time.Second) // lets pending calls return
 	})
 	return w
 }
 
-// hear makes the entry know up to now that it owns the pool.
-func (w *poolWorld) hear() {
-	w.entry.owns(w.claim)
+// refreshClaims lets the entry know, as of now, that it owns the pool.
+func (w *poolFixture) refreshClaims() {
+	w.entry.setClaims(w.claim)
 }
 
-// hearFor lets some time pass in which the entry hears that it owns the pool.
-func (w *poolWorld) hearFor(d time.Duration) {
+// refreshClaimsFor lets some time pass while the claims are refreshed.
+func (w *poolFixture) refreshClaimsFor(d time.Duration) {
 	for until := w.clock() + d; w.clock() < until; {
-		w.hear()
+		w.refreshClaims()
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-func TestTasksOfAFormerOwnerAreHeldBack(t *testing.T) {
-	// Symptom: a task runs twice after a takeover.
-	// Sequence: the former owner has started it on a worker that does not answer the
-	// next one.
-	// Cause: the leases that the former owner may renew until it learns of the claim
-	// were not waited for.
+func TestTakeoverWaitsForFormerOwnersLeases(t *testing.T) {
+	// Guards against running a task twice after a takeover: the former owner had started
+	// it on a worker that does not answer the new owner. The new owner must wait until
+	// the leases have expired that the former owner may renew before it learns of the
+	// claim.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPoolWorld(t, 2, "w1")
-		is.True(formerHold > maxSilence+leaseTime)
-		w.hearFor(maxSilence + leaseTime)
+		w := newPoolFixture(t, 2, "w1")
+		is.True(formerLeaseWait > ownershipTimeout+leaseTime)
+		w.refreshClaimsFor(ownershipTimeout + leaseTime)
 		starts, _ := w.workers.counts()
 		is.Equal(starts, 0)
-		w.hearFor(2 * time.Second)
+		w.refreshClaimsFor(2 * time.Second)
 		starts, _ = w.workers.counts()
 		is.Equal(starts, 2)
 	})
 }
 
-func TestFirstOwnerStartsAtOnce(t *testing.T) {
+func TestFirstOwnerStartsTasksAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newPoolWorld(t, 1, "w1")
-		w.hearFor(time.Second)
+		w := newPoolFixture(t, 1, "w1")
+		w.refreshClaimsFor(time.Second)
 		starts, _ := w.workers.counts()
 		is.New(t).Equal(starts, 2)
 	})
 }
 
-func TestOwnerWithoutWordOfTheStoreLetsItsLeasesEnd(t *testing.T) {
-	// Symptom: a run of a former owner goes on after the next one has waited for the
-	// end of its lease.
-	// Sequence: an owner is cut off from the store for longer than a next one waits.
-	// Cause: it went on renewing leases for as long as it ran.
+func TestOwnerStopsRenewingLeasesInLongStoreOutage(t *testing.T) {
+	// Guards against a run of the former owner that goes on after the new owner has
+	// waited for its lease to expire: an owner that was cut off from the store for longer
+	// than that kept renewing its leases.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPoolWorld(t, 1)
-		w.hearFor(time.Second)
-		w.entry.store.set(func(s *storeWay) { s.cut = true })
+		w := newPoolFixture(t, 1)
+		w.refreshClaimsFor(time.Second)
+		w.entry.store.set(func(s *faultyStore) { s.unreachable = true })
 		time.Sleep(8 * time.Second)
 		_, before := w.workers.counts()
 		time.Sleep(1500 * time.Millisecond)
@@ -115,79 +112,79 @@
 		time.Sleep(10 * time.Second)
 		_, after := w.workers.counts()
 		is.Equal(lost, after)
-		w.entry.store.set(func(s *storeWay) { s.cut = false })
-		w.hearFor(4 * time.Second)
+		w.entry.store.set(func(s *faultyStore) { s.unreachable = false })
+		w.refreshClaimsFor(4 * time.Second)
 		_, back := w.workers.counts()
 		is.True(back > after)
 	})
 }
 
-func TestOwnerAsksTheStoreAboutNewWorkers(t *testing.T) {
-	// Symptom: tasks begin a second late on each worker that joins, or on one that
-	// only a replaced owner takes for usable.
-	// Sequence: a worker joins between two reads of the claims.
-	// Cause: the owner waited for the next read, or for none.
+func TestOwnerConfirmsOwnershipForNewWorkers(t *testing.T) {
+	// Guards against tasks that start a second late on each worker that joins between two
+	// reads of the claims. The owner must confirm its ownership with the store at once
+	// instead of waiting for the next read, and must not use the worker without the
+	// confirmation, since it may have been replaced.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPoolWorld(t, 1, "w0", "w1")
-		w.hearFor(time.Second)
+		w := newPoolFixture(t, 1, "w0", "w1")
+		w.refreshClaimsFor(time.Second)
 		join := func(id string) {
 			w.entry.node.reports.mu.Lock()
 			w.entry.node.reports.workers[id] = jayport.Worker{ID: id, Pool: "seats", Capacity: jaypool.Resources{ProcessorsMilli: 4000, MemoryMegabytes: 4000}}
 			w.entry.node.reports.mu.Unlock()
 			w.duty.workersChanged()
 		}
-		w.entry.store.set(func(s *storeWay) { s.refuse = true })
+		w.entry.store.set(func(s *faultyStore) { s.refuse = true })
 		join("w2")
 		time.Sleep(time.Second)
 		starts, _ := w.workers.counts()
 		is.Equal(starts, 0)
-		w.entry.store.set(func(s *storeWay) { s.refuse = false })
+		w.entry.store.set(func(s *faultyStore) { s.refuse = false })
 		time.Sleep(400 * time.Millisecond)
 		starts, _ = w.workers.counts()
 		is.Equal(starts, 2)
 	})
 }
 
-func TestClaimsOfOthersAreNoWordForAnOwner(t *testing.T) {
+func TestClaimsOfOtherOwnersDoNotConfirmOwnership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPoolWorld(t, 1)
-		w.hearFor(time.Second)
-		w.entry.store.set(func(s *storeWay) { s.refuse = true })
+		w := newPoolFixture(t, 1)
+		w.refreshClaimsFor(time.Second)
+		w.entry.store.set(func(s *faultyStore) { s.refuse = true })
 		other := w.claim
 		other.Incarnation = "e2-x"
 		for range 24 {
-			w.entry.owns(w.claim, other)
+			w.entry.setClaims(w.claim, other)
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, before := w.workers.counts()
 		time.Sleep(2 * time.Second)
 		_, after := w.workers.counts()
 		is.Equal(before, after)
-		w.entry.store.set(func(s *storeWay) { s.refuse = false })
+		w.entry.store.set(func(s *faultyStore) { s.refuse = false })
 	})
 }
 
-func TestPauseIsNoticedBeforeQuestionsAreAnswered(t *testing.T) {
+func TestPauseIsDetectedBeforeQueriesAreAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPoolWorld(t, 1, "w0", "w1")
-		w.hearFor(time.Second)
+		w := newPoolFixture(t, 1, "w0", "w1")
+		w.refreshClaimsFor(time.Second)
 		w.entry.node.pools["seats"] = w.duty
-		w.entry.store.set(func(s *storeWay) { s.refuse = true })
+		w.entry.store.set(func(s *faultyStore) { s.refuse = true })
 		is.True(w.entry.node.askOwned("seats", testID).Owned)
 		pause := make(chan struct{})
-		w.duty.post(func(time.Duration) { <-pause }) // the entry stands still
+		w.duty.post(func(time.Duration) { <-pause }) // pauses the duty's goroutine
 		time.Sleep(3 * time.Second)
 		answered := make(chan bool, 1)
 		go func() { answered <- w.entry.node.askOwned("seats", testID).Owned }()
 		time.Sleep(time.Millisecond)
 		close(pause)
-		is.True(!<-answered) // asked while the duty stood still
+		is.True(!<-answered) // asked during the pause
 		is.True(!w.entry.node.askOwned("seats", testID).Owned)
-		w.entry.store.set(func(s *storeWay) { s.refuse = false })
-		w.hearFor(time.Second)
+		w.entry.store.set(func(s *faultyStore) { s.refuse = false })
+		w.refreshClaimsFor(time.Second)
 		is.True(w.entry.node.askOwned("seats", testID).Owned)
 	})
 }
--- a/jaynode/poolownership.go
+++ b/jaynode/poolownership.go
@@ -4,59 +4,60 @@
 	"time"
 )
 
-// noteOwnership tells the pool up to when the claims are known, as long as they name
-// this owner.
-func (d *poolDuty) noteOwnership() {
+// updateOwnership tells the pool up to when it is confirmed that this owner has the pool,
+// if the newest claims name this owner.
+func (d *poolDuty) updateOwnership() {
 	view := d.node.members.Owners.View()
 	if view == nil {
 		return
 	}
 	if c, claimed := view.Claim(d.claim.Duty); claimed && c.Fence == d.claim.Fence {
-		d.pool.Owned(view.AsOf + d.unclaimed())
+		d.pool.Owned(view.AsOf + d.minTakeoverTime())
 	}
 }
 
-// pauseNoticed is after how long without a step the duty was paused, and not merely
-// slow: several of its ticks.
-const pauseNoticed = 500 * time.Millisecond
+// pauseThreshold is the time without a step from which the process counts as paused, and
+// not only slow. It is several ticks long.
+const pauseThreshold = 500 * time.Millisecond
 
-// noticePause tells the pool if the entry was paused since it was last called. It
-// comes before each event: the next one may be a query.
-func (d *poolDuty) noticePause(now time.Duration) {
-	if d.steppedAt > 0 && now-d.steppedAt > pauseNoticed {
-		d.logger.Info("woken from a pause", "lasted", (now - d.steppedAt).String())
+// detectPause tells the pool if the process was paused since the last call. It is called
+// before each event, since the event may be a query that must not be answered from old
+// state.
+func (d *poolDuty) detectPause(now time.Duration) {
+	if d.lastActiveAt > 0 && now-d.lastActiveAt > pauseThreshold {
+		d.logger.Info("process was paused", "lasted", (now - d.lastActiveAt).String())
 		d.pool.Doubt(now)
 	}
-	d.steppedAt = now
+	d.lastActiveAt = now
 }
 
 const (
-	// slowStore is the latency from which the store is taken to be slow for all
-	// entries. A slow entry or link does not reach it.
-	slowStore = 150 * time.Millisecond
-	// takeoverCalls is how many calls to the store, one after the other, a next
-	// owner makes between its claim and its first order: it reads the claim, fences
-	// this owner off and reads how far the jobs are.
+	// slowStoreLatency is the append latency from which the store counts as slow for all
+	// entries. Slowness of this entry or its network link alone does not reach it.
+	slowStoreLatency = 150 * time.Millisecond
+	// takeoverCalls is the number of consecutive store calls that a new owner makes from
+	// its claim to its first order: it reads the claim, fences the former owner and reads
+	// the progress of the jobs.
 	takeoverCalls = 3
 )
 
-// unclaimed is for how long after nobody had claimed the pool no other owner can
-// have given an order. While the store is slow a takeover takes as many calls; new
-// workers and jobs would wait that long for each word that the owner is still the
-// owner.
-func (d *poolDuty) unclaimed() time.Duration {
+// minTakeoverTime returns how long after a moment without another claim no other owner
+// can have sent an order yet. It is zero unless the store is slow; then a takeover takes
+// at least that many calls. Without this allowance, new workers and jobs would wait for
+// each confirmation of the ownership by a slow store.
+func (d *poolDuty) minTakeoverTime() time.Duration {
 	latency := d.node.store.Latency()
-	if latency < slowStore {
+	if latency < slowStoreLatency {
 		return 0
 	}
 	return (takeoverCalls - 1) * latency
 }
 
-// confirmOwner finds out whether this owner was replaced: a next one begins by
-// fencing this one's records off.
+// confirmOwner checks with the store whether this owner was replaced: a new owner begins
+// by fencing the former owner's producer.
 func (d *poolDuty) confirmOwner() {
 	asked := d.node.clock()
-	add(d.journal, nil, func(err error) {
-		d.post(func(now time.Duration) { d.pool.OwnerConfirmed(asked+d.unclaimed(), err, now) })
+	addToJournal(d.journal, nil, func(err error) {
+		d.post(func(now time.Duration) { d.pool.OwnerConfirmed(asked+d.minTakeoverTime(), err, now) })
 	})
 }
--- a/jaynode/queries.go
+++ b/jaynode/queries.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// ownerRetry is what a caller is told to wait while a pool changes owners.
+	// ownerRetry is the delay that a caller is told to wait while a pool changes its
+	// owner.
 	ownerRetry = time.Second
-	// askPause is between two queries about a job whose owner does not
-	// answer.
-	askPause = 30 * time.Millisecond
+	// queryRetryDelay is the delay before a query is repeated whose owner did not answer.
+	queryRetryDelay = 30 * time.Millisecond
 )
 
-// JobState returns the state of a job; known is false if there is none. Its
+// JobState returns the state of a job; known is false if the job does not exist. Its
 // error is a *jayverdict.Error.
 func (n *Node) JobState(queue jaycatalog.Queue, id string, deadline time.Duration) (state jaysched.State, known bool, err error) {
 	began := n.clock()
 	defer func() {
-		n.answered("state", began, err)
+		n.countAnswer("state", began, err)
 		if err != nil || !known {
-			n.intake.noteAnswer("query", id, known, n.clock()-began, err)
+			n.intake.logAnswer("query", id, known, n.clock()-began, err)
 		}
 	}()
 	return n.askOwner(queue.Pool, deadline, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_AskJob{
@@ -35,13 +35,13 @@
 	}})
 }
 
-// CancelJob cancels a job; known is false if there is none. Its error is a
+// CancelJob cancels a job; known is false if the job does not exist. Its error is a
 // *jayverdict.Error.
 func (n *Node) CancelJob(queue jaycatalog.Queue, id string, deadline time.Duration) (known bool, err error) {
 	began := n.clock()
 	defer func() {
-		n.answered("cancel", began, err)
-		n.intake.noteAnswer("cancellation", id, known, n.clock()-began, err)
+		n.countAnswer("cancel", began, err)
+		n.intake.logAnswer("cancellation", id, known, n.clock()-began, err)
 	}()
 	_, known, err = n.askOwner(queue.Pool, deadline, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_CancelJob{
 		CancelJob: &jaywire.CancelJob{Pool: queue.Pool, Job: id},
@@ -49,8 +49,8 @@
 	return known, err
 }
 
-// noteAnswer logs what a caller was answered about a job.
-func (i *intake) noteAnswer(what, job string, known bool, took time.Duration, err error) {
+// logAnswer logs the answer to a caller's query about a job.
+func (i *intake) logAnswer(what, job string, known bool, took time.Duration, err error) {
 	switch {
 	case err != nil:
 		i.logger.Info(what+" not answered", "job", job, "took", took.String(), "error", err.Error())
@@ -61,7 +61,7 @@
 	}
 }
 
-// Pending counts the jobs of a queue that have not begun.
+// Pending returns the number of jobs of a queue that have not started.
 func (n *Node) Pending(queue jaycatalog.Queue, deadline time.Duration) (int, error) {
 	request := &jaywire.PeerRequest{Body: &jaywire.PeerRequest_AskPending{
 		AskPending: &jaywire.AskPending{Pool: queue.Pool, Queue: queue.Name},
@@ -73,7 +73,7 @@
 		pending = int(answer.GetPending())
 		return answer.GetOwned()
 	})
-	n.answered("pending", began, err)
+	n.countAnswer("pending", began, err)
 	return pending, err
 }
 
@@ -87,8 +87,8 @@
 	return state, known, err
 }
 
-// untilOwned asks the owner of a pool until it answers or the time passes. The
-// queries are idempotent.
+// untilOwned repeats a query until the owner of the pool answers or the deadline has
+// passed. The queries are idempotent.
 func (n *Node) untilOwned(pool string, deadline time.Duration, request *jaywire.PeerRequest, owned func(*jaywire.PeerResponse) bool) error {
 	until := n.clock() + deadline
 	for {
@@ -98,14 +98,14 @@
 				return nil
 			}
 		}
-		if n.clock()+askPause >= until {
+		if n.clock()+queryRetryDelay >= until {
 			return jayverdict.NewNotRun(statusUnavailable, "the pool has no owner that answers", ownerRetry)
 		}
-		time.Sleep(askPause)
+		time.Sleep(queryRetryDelay)
 	}
 }
 
-// askIncarnation asks an owner, which may be this entry itself.
+// askIncarnation sends a request to an owner, which may be this entry itself.
 func (n *Node) askIncarnation(c jayowner.Claim, request *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
 	if c.Incarnation == n.incarnation {
 		return n.handlePeer(request), nil
@@ -117,10 +117,10 @@
 	return response, err
 }
 
-// askTimeout bounds a query to a pool's goroutine.
+// askTimeout limits how long a query waits for a pool's goroutine.
 const askTimeout = 300 * time.Millisecond
 
-// askOwned answers for the state of a job of a pool that this entry owns.
+// askOwned answers a query for the state of a job if this entry owns its pool.
 func (n *Node) askOwned(pool, id string) *jaywire.JobAnswer {
 	settled := true
 	answer := n.answerOwned(pool, func(p *jaysched.Pool, now time.Duration) (jaysched.State, bool) {
@@ -128,18 +128,19 @@
 		return p.StateOf(id, now)
 	})
 	if !settled {
-		// The caller's entry asks again in a moment.
+		// The entry that asked retries after queryRetryDelay.
 		return &jaywire.JobAnswer{}
 	}
 	return answer
 }
 
-// recordedPause is between two looks whether a cancellation is recorded.
-const recordedPause = 5 * time.Millisecond
+// recordedPollInterval is the time between two checks whether a cancellation has been
+// recorded.
+const recordedPollInterval = 5 * time.Millisecond
 
-// cancelOwned cancels a job of a pool that this entry owns. It answers once
-// the end of the job is recorded: an owner that dies before would leave the
-// next one to start the job's tasks again.
+// cancelOwned cancels a job if this entry owns its pool. It answers only after the end of
+// the job has been recorded: if this owner failed before that, the next one would start
+// the job's tasks again.
 func (n *Node) cancelOwned(pool, id string) *jaywire.JobAnswer {
 	until := n.clock() + askTimeout
 	for {
@@ -155,7 +156,7 @@
 		if n.clock() >= until {
 			return &jaywire.JobAnswer{}
 		}
-		time.Sleep(recordedPause)
+		time.Sleep(recordedPollInterval)
 	}
 }
 
@@ -175,16 +176,15 @@
 	if !asked || doubted {
 		return &jaywire.JobAnswer{}
 	}
-	// A job that is not known may have been submitted a moment ago.
+	// An unknown job may have been submitted a moment ago.
 	answer.Owned = answer.Known || duty.current()
 	return answer
 }
 
-// current reports whether the duty's view is fresh enough to say that a job
-// does not exist: it still owns the pool, and it has read what was submitted
-// up to a moment ago.
+// current reports whether the duty's data is recent enough to answer that a job does not
+// exist: the claims and the submitted jobs have both been read within maxNotFoundAge.
 func (d *poolDuty) current() bool {
-	oldest := d.node.clock() - maxUnknownAge
+	oldest := d.node.clock() - maxNotFoundAge
 	return d.jobs.tail.AsOf() > oldest && d.node.members.Owners.View().AsOf > oldest
 }
 
--- a/jaynode/queries_test.go
+++ b/jaynode/queries_test.go
@@ -8,24 +8,23 @@
 	"github.com/matryer/is"
 )
 
-func TestOnlyAFreshViewSaysThatAJobDoesNotExist(t *testing.T) {
-	// Symptom: a caller is told that its accepted job does not exist.
-	// Sequence: the owner of the pool is cut off from the store; another entry stores
-	// the job meanwhile; the owner is asked for it.
-	// Cause: the owner answered with what it had read seconds ago.
+func TestStaleOwnerDoesNotReportUnknownJobs(t *testing.T) {
+	// Guards against telling a caller that an accepted job does not exist: the pool's
+	// owner was cut off from the store, another entry stored the job meanwhile, and the
+	// owner answered from data that it had read seconds before.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPoolWorld(t, 1)
+		w := newPoolFixture(t, 1)
 		w.entry.node.pools["seats"] = w.duty
-		w.hearFor(time.Second)
+		w.refreshClaimsFor(time.Second)
 		answer := w.entry.node.askOwned("seats", "00000000000000ff")
 		is.True(answer.Owned && !answer.Known)
-		w.entry.store.set(func(s *storeWay) { s.cut = true })
+		w.entry.store.set(func(s *faultyStore) { s.unreachable = true })
 		time.Sleep(3 * time.Second)
 		answer = w.entry.node.askOwned("seats", "00000000000000ff")
 		is.True(!answer.Owned)
 		answer = w.entry.node.askOwned("seats", testID)
-		is.True(answer.Owned && answer.Known) // what it knows it may tell
-		w.entry.store.set(func(s *storeWay) { s.cut = false })
+		is.True(answer.Owned && answer.Known) // a known job needs no fresh data
+		w.entry.store.set(func(s *faultyStore) { s.unreachable = false })
 	})
 }
--- a/jaynode/relaypeers.go
+++ b/jaynode/relaypeers.go
@@ -12,17 +12,17 @@
 	"jaythread/jaywire"
 )
 
-// relayTimeout bounds a call to the store that a peer makes for this entry.
+// relayTimeout limits the duration of a store call that a peer makes for this entry.
 const relayTimeout = 1500 * time.Millisecond
 
-// relayPeers are the peers that may call the store for this entry.
+// relayPeers sends store calls through peers.
 type relayPeers struct {
 	node *Node
 	link *jaypeer.Client
 }
 
-// Incarnations returns the entries that are not known to have ended, in a
-// fixed order.
+// Incarnations returns the sorted incarnations of the other entries that are not presumed
+// to have ended.
 func (r *relayPeers) Incarnations() []string {
 	var ids []string
 	for _, e := range r.node.members.Entries.All() {
@@ -34,12 +34,13 @@
 	return ids
 }
 
-// Relay asks a peer to make a call.
+// Relay asks a peer to make a store call.
 func (r *relayPeers) Relay(incarnation string, call *jaywire.StoreCall) (*jaywire.StoreResult, error) {
 	addr := r.node.members.Entries.AddrOf(incarnation)
 	response, err := r.link.Ask(incarnation, addr, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_StoreCall{StoreCall: call}})
 	if errors.Is(err, jaypeer.ErrGone) {
-		// Nothing listens there for this incarnation: the call was not made.
+		// No process of this incarnation listens at the address, so the call was not
+		// made.
 		return nil, fmt.Errorf("%w: %w", jayport.ErrNotDone, err)
 	}
 	if err != nil {
--- a/jaynode/reports.go
+++ b/jaynode/reports.go
@@ -10,53 +10,54 @@
 	"jaythread/jayport"
 )
 
-// reports follows what workers say of themselves.
+// reports holds the newest report of each worker. It is the handler of the tail that
+// reads them.
 type reports struct {
 	formats jayport.Formats
 	logger  logr.Logger
 
-	mu      sync.Mutex
-	workers map[string]jayport.Worker
-	asOf    time.Duration
-	changed func(pool string)
-	touched map[string]bool
-	// offsets are those of the newest entry of each worker.
+	mu           sync.Mutex
+	workers      map[string]jayport.Worker
+	asOf         time.Duration
+	poolChanged  func(pool string)
+	changedPools map[string]bool
+	// offsets holds the offset of the newest report under each key.
 	offsets map[string]int64
-	// foreign are the keys whose entries name no worker; each is said once.
-	foreign map[string]bool
+	// unreadable is the set of keys whose reports cannot be read; each is logged once.
+	unreadable map[string]bool
 }
 
 const (
-	// maxForeign bounds the keys that are remembered.
-	maxForeign = 1000
-	// maxOffsets bounds the offsets of workers that have left.
+	// maxUnreadable limits the number of keys in unreadable.
+	maxUnreadable = 1000
+	// maxOffsets limits the number of offsets that are kept for workers that have left.
 	maxOffsets = 1000
 )
 
 func newReports(n *Node) *reports {
 	return &reports{
-		formats: n.ports.Formats,
-		logger:  n.logger.WithName("reports"),
-		workers: map[string]jayport.Worker{},
-		touched: map[string]bool{},
-		offsets: map[string]int64{},
-		foreign: map[string]bool{},
-		changed: n.workersChanged,
+		formats:      n.ports.Formats,
+		logger:       n.logger.WithName("reports"),
+		workers:      map[string]jayport.Worker{},
+		changedPools: map[string]bool{},
+		offsets:      map[string]int64{},
+		unreadable:   map[string]bool{},
+		poolChanged:  n.workersChanged,
 	}
 }
 
-// Reset begins a load: workers that it does not name have left.
+// Reset begins a reload: workers without a report in it have left.
 func (r *reports) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range r.workers {
-		r.touched[w.Pool] = true
+		r.changedPools[w.Pool] = true
 	}
 	clear(r.workers)
 }
 
-// Apply takes in a worker's report. An older one than is known is passed over: it may be
-// of a former incarnation.
+// Apply processes a worker's report. Reports older than the newest one under the same key
+// are ignored, since they may be from a former incarnation of the worker.
 func (r *reports) Apply(record jayport.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,52 +66,52 @@
 	}
 	r.offsets[record.Key] = record.Offset
 	if present, known := r.workers[record.Key]; known {
-		r.touched[present.Pool] = true
+		r.changedPools[present.Pool] = true
 	}
 	if record.Value == nil {
 		delete(r.workers, record.Key)
-		delete(r.foreign, record.Key)
+		delete(r.unreadable, record.Key)
 		return
 	}
 	w, err := r.formats.Reported(record)
 	if err != nil {
-		// Whoever wrote it, it names no worker to use. One that was in use is
-		// handled like one whose entry is gone: what runs there is still followed.
+		// The report does not name a worker that can be used. A worker that was in use is
+		// handled as one that has left: its runs are still tracked.
 		delete(r.workers, record.Key)
-		r.sayForeign(record.Key, err)
+		r.logUnreadable(record.Key, err)
 		return
 	}
-	delete(r.foreign, record.Key)
+	delete(r.unreadable, record.Key)
 	r.workers[w.ID] = w
-	r.touched[w.Pool] = true
+	r.changedPools[w.Pool] = true
 }
 
-// sayForeign logs an entry that names no worker, once until it changes: it may be
-// written again every second.
-func (r *reports) sayForeign(key string, err error) {
-	if r.foreign[key] || len(r.foreign) >= maxForeign {
+// logUnreadable logs a report that cannot be read, once until it is replaced by a
+// readable one or removed: it may be written again every second.
+func (r *reports) logUnreadable(key string, err error) {
+	if r.unreadable[key] || len(r.unreadable) >= maxUnreadable {
 		return
 	}
-	r.foreign[key] = true
-	r.logger.Info("entry names no worker", "entry", key, "error", err.Error())
+	r.unreadable[key] = true
+	r.logger.Info("worker report does not name a worker", "entry", key, "error", err.Error())
 }
 
-// CaughtUp tells the pools whose workers have changed.
+// CaughtUp notifies the pools whose workers have changed.
 func (r *reports) CaughtUp(asOf time.Duration) {
 	r.mu.Lock()
 	r.asOf = asOf
 	if len(r.offsets) > len(r.workers)+maxOffsets {
 		maps.DeleteFunc(r.offsets, func(key string, _ int64) bool { _, present := r.workers[key]; return !present })
 	}
-	touched := r.touched
-	r.touched = map[string]bool{}
+	touched := r.changedPools
+	r.changedPools = map[string]bool{}
 	r.mu.Unlock()
 	for pool := range touched {
-		r.changed(pool)
+		r.poolChanged(pool)
 	}
 }
 
-// of returns the workers of a pool and up to when their reports are known.
+// of returns the workers of a pool and the time up to which the reports have been read.
 func (r *reports) of(pool string) (list []jayport.Worker, asOf time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jaynode/settings.go
+++ b/jaynode/settings.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// Settings are what an entry of the job service needs to know about itself and
-// the bounds that it keeps to.
+// Settings configures an entry of the job service.
 type Settings struct {
 	Entry      string
 	DataCenter string
@@ -11,21 +10,24 @@
 	// ProcessorsMilli and LinkMegabits are the entry's share of its machine.
 	ProcessorsMilli int64
 	LinkMegabits    int64
-	// MaxLease is the longest lease that a worker takes.
+	// MaxLease is the longest lease that a worker accepts.
 	MaxLease time.Duration
-	// StopTime is how long a worker takes at most to stop a run.
+	// StopTime is the maximum time that a worker takes to stop a run.
 	StopTime time.Duration
-	// FarFactor is how much longer a task takes away from its data or rack.
+	// FarFactor is the factor by which a task takes longer on a worker that is not close
+	// to the task's data or rack.
 	FarFactor float64
-	// MoveTime and MaintenanceTime are how long a host is away for them.
+	// MoveTime and MaintenanceTime are how long a host is unavailable during a move and
+	// during maintenance.
 	MoveTime        time.Duration
 	MaintenanceTime time.Duration
-	// HolderTime is how long after one owner of the fleet the next one may act
-	// on a host.
+	// HolderTime is how long the fleet's next owner must wait after a command of the
+	// former owner before it may act on the same host.
 	HolderTime time.Duration
-	// FencesChecked says that the inventory refuses commands with a lower fence than
-	// the host has seen.
+	// FencesChecked is set if the inventory rejects commands with a lower fence than the
+	// host has already received.
 	FencesChecked bool
-	// RetainEnded is how long the state of an ended job is shown.
+	// RetainEnded is how long the state of an ended job remains available. Zero keeps it
+	// forever.
 	RetainEnded time.Duration
 }
--- a/jaynode/stored_test.go
+++ b/jaynode/stored_test.go
@@ -21,7 +21,7 @@
 
 const testID = "5c0e7a21d94b36f8"
 
-// storedJob is a declaration as it stands in the store.
+// storedJob returns an encoded declaration with two steps.
 func storedJob(t testing.TB) []byte {
 	t.Helper()
 	value, err := encodeJob(&jayspec.Job{
@@ -37,8 +37,8 @@
 	return value
 }
 
-// FuzzStored reads a declaration and its progress as a new owner does, and the
-// other records of the program's own.
+// FuzzStored decodes arbitrary bytes as a job's declaration and progress, as a new owner
+// does, and as the other stored records of this program.
 func FuzzStored(f *testing.F) {
 	progress, err := proto.Marshal(&jaywire.JobProgress{Steps: []*jaywire.StepProgress{{Done: []byte{1}, Tasks: []*jaywire.TaskProgress{{Index: 1, FailedRuns: []int64{3}}}}}})
 	if err != nil {
@@ -68,11 +68,10 @@
 	})
 }
 
-func TestUnreadableProgressHoldsOneJobOnly(t *testing.T) {
-	// Symptom: no job of a pool runs any more after its owner was replaced.
-	// Sequence: the progress record of one job cannot be read; the new owner reads
-	// the records again and again.
-	// Cause: one unreadable record kept the pool from being taken over.
+func TestUnreadableProgressBlocksOneJobOnly(t *testing.T) {
+	// Guards against a pool that cannot be taken over because the progress record of one
+	// job cannot be decoded: the new owner read the records again and again, and no job
+	// of the pool ran.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := jayclock.Since(time.Now().Add(-time.Hour))
@@ -88,7 +87,7 @@
 		duty := newPoolDuty(e.node, "seats", e.claim(jayowner.PoolDuty("seats"), 6, 1))
 		is.True(duty.takeOver())
 		duty.cancel()
-		is.Equal(duty.pool.Pending("q"), 1) // the other job waits to be started, this one is not
+		is.Equal(duty.pool.Pending("q"), 1) // the other job is pending, this one is blocked
 		state, known := duty.pool.StateOf(testID, clock())
 		is.True(known)
 		is.Equal(state, jaysched.Queued)
@@ -96,27 +95,25 @@
 	})
 }
 
-// foreignFormats take an entry with the value "bad" for one that names no worker.
-type foreignFormats struct{ testFormats }
+// reportFormats fails to read reports with the value "bad".
+type reportFormats struct{ testFormats }
 
-// Reported reads an entry: its value is the worker's pool.
-func (foreignFormats) Reported(r jayport.Record) (jayport.Worker, error) {
+// Reported reads a report; its value is the worker's pool.
+func (reportFormats) Reported(r jayport.Record) (jayport.Worker, error) {
 	if string(r.Value) == "bad" {
 		return jayport.Worker{}, errors.New("no worker")
 	}
 	return jayport.Worker{ID: r.Key, Pool: string(r.Value)}, nil
 }
 
-func TestEntryThatTurnsForeignIsTakenForGone(t *testing.T) {
-	// Symptom: runs are started on a worker whose entry says nothing any more.
-	// Sequence: the entry of a worker in use is overwritten with bytes that cannot
-	// be read.
-	// Cause: the entry before was kept.
+func TestUnreadableReportRemovesWorker(t *testing.T) {
+	// Guards against starting runs on a worker whose report was overwritten with bytes
+	// that cannot be read: the previous report was kept.
 	is := is.New(t)
 	changed := map[string]int{}
-	n := New(Settings{Entry: "e1"}, Ports{Formats: foreignFormats{}}, logr.Discard())
+	n := New(Settings{Entry: "e1"}, Ports{Formats: reportFormats{}}, logr.Discard())
 	r := n.reports
-	r.changed = func(pool string) { changed[pool]++ }
+	r.poolChanged = func(pool string) { changed[pool]++ }
 	for _, key := range []string{"i-1", "i-2"} {
 		r.Apply(jayport.Record{Key: key, Value: []byte("seats")})
 	}
@@ -131,20 +128,20 @@
 	r.Apply(jayport.Record{Key: "i-1", Value: []byte("seats")})
 	workers, _ = r.of("seats")
 	is.Equal(len(workers), 2)
-	is.True(!r.foreign["i-1"])
-	for n := range 2 * maxForeign {
+	is.True(!r.unreadable["i-1"])
+	for n := range 2 * maxUnreadable {
 		r.Apply(jayport.Record{Key: string(rune(n + 1000)), Value: []byte("bad")})
 	}
-	is.True(len(r.foreign) <= maxForeign)
+	is.True(len(r.unreadable) <= maxUnreadable)
 }
 
-// Guards against going back to a former incarnation of a worker: the loads of a partition
-// and its reads overlap.
-func TestOlderEntriesArePassedOver(t *testing.T) {
+// Guards against going back to a former incarnation of a worker: a reload and the reads
+// after it can return the same records twice.
+func TestOlderReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
-	n := New(Settings{Entry: "e1"}, Ports{Formats: foreignFormats{}}, logr.Discard())
+	n := New(Settings{Entry: "e1"}, Ports{Formats: reportFormats{}}, logr.Discard())
 	r := n.reports
-	r.changed = func(string) {}
+	r.poolChanged = func(string) {}
 	r.Apply(jayport.Record{Key: "i-1", Value: []byte("seats"), Offset: 7})
 	r.Apply(jayport.Record{Key: "i-1", Value: []byte("fees"), Offset: 6})
 	workers, _ := r.of("seats")
--- a/jaynode/takeover.go
+++ b/jaynode/takeover.go
@@ -19,32 +19,32 @@
 	"jaythread/jaywire"
 )
 
-// partitionOf returns the partition that holds a pool's records.
+// partitionOf returns the number of the partition that holds a pool's records.
 func (n *Node) partitionOf(pool string) int {
 	return int(xxhash.Sum64String(pool) % uint64(n.ports.Formats.OwnPartitions()))
 }
 
-// jobKey is the key of a job's records.
+// jobKey returns the key of a job's records.
 func jobKey(pool, id string) string {
 	return pool + "/" + id
 }
 
-// jobID returns the job of a key of the pool.
+// jobID returns the ID of the job that a key of the pool belongs to.
 func jobID(pool, key string) string {
 	return strings.TrimPrefix(key, pool+"/")
 }
 
-// takeOver fences the former owner off, reads what it has recorded and the
-// jobs that were submitted. It returns false if the duty ended meanwhile.
+// takeOver fences the former owner's producer, then reads the recorded progress and the
+// submitted jobs. It returns false if the duty ended meanwhile.
 func (d *poolDuty) takeOver() bool {
 	began := d.node.clock()
-	// Fencing comes first: what the former owner records afterwards would be
-	// missing from what is read here.
+	// Fencing comes first: records that the former owner wrote after the read would be
+	// missed.
 	if err := d.journal.Fence(d.ctx); err != nil {
-		d.logger.Info("not taken over", "error", err.Error())
+		d.logger.Info("pool takeover failed", "error", err.Error())
 		return false
 	}
-	// Side by side: behind a slow store each call takes long.
+	// Both are read in parallel, since each call takes long if the store is slow.
 	var jobs sync.WaitGroup
 	jobs.Go(d.loadJobs)
 	defer jobs.Wait()
@@ -54,44 +54,44 @@
 		return false
 	}
 	d.jobs.finishLoad(progress)
-	d.list(d.node.clock())
+	d.updateWorkers(d.node.clock())
 	d.node.duties.Go(d.survey)
 	d.node.metrics.DutyChanged(string(d.claim.Duty), "takenOver")
 	d.logger.Info("taken over", "term", d.claim.Term, "jobs", d.jobs.open, "ended", d.jobs.ended, "took", (d.node.clock() - began).String())
 	return true
 }
 
-// loadJobs reads the jobs that were submitted until it has, or the duty ends.
+// loadJobs reads the submitted jobs and retries until it succeeds or the duty ends.
 func (d *poolDuty) loadJobs() {
 	for d.jobs.tail.Step(0) != nil && d.ctx.Err() == nil {
-		jayclock.Sleep(d.ctx, retryPause)
+		jayclock.Sleep(d.ctx, storeRetryDelay)
 	}
 }
 
-// surveyPause is between two looks at the inventory while workers do not
-// answer. Each look is paid for.
-const surveyPause = 500 * time.Millisecond
+// surveyInterval is the time between two reads of the inventory while workers do not
+// answer. Each read has a cost.
+const surveyInterval = 500 * time.Millisecond
 
-// survey tells the pool which workers exist by the inventory, as long as it
-// waits for word from some.
+// survey tells the pool which workers exist according to the inventory, while the pool
+// waits for answers from some of them.
 func (d *poolDuty) survey() {
 	for d.ctx.Err() == nil {
 		needed := false
 		if !d.ask(func() { needed = d.pool.NeedsSurvey(d.node.clock()) }, askTimeout) || !needed {
-			jayclock.Sleep(d.ctx, surveyPause/5)
+			jayclock.Sleep(d.ctx, surveyInterval/5)
 			continue
 		}
 		asked := d.node.clock()
 		hosts, err := d.node.ports.Inventory.Hosts(inventoryTimeout)
 		if err != nil {
-			d.logger.Info("workers not surveyed", "error", err.Error())
-			jayclock.Sleep(d.ctx, surveyPause)
+			d.logger.Info("worker survey failed; retrying", "error", err.Error())
+			jayclock.Sleep(d.ctx, surveyInterval)
 			continue
 		}
 		if !jayport.Complete(hosts) {
-			// A worker that no row names may stand in the one that was not read.
-			d.logger.Info("workers not surveyed", "error", "the inventory's list has unreadable rows")
-			jayclock.Sleep(d.ctx, surveyPause)
+			// A worker that is missing from the list may be in a row that cannot be read.
+			d.logger.Info("worker survey failed; retrying", "error", "the inventory's list has unreadable rows")
+			jayclock.Sleep(d.ctx, surveyInterval)
 			continue
 		}
 		var ids []string
@@ -101,12 +101,12 @@
 			}
 		}
 		d.post(func(now time.Duration) { d.pool.Surveyed(ids, asked, now) })
-		jayclock.Sleep(d.ctx, surveyPause)
+		jayclock.Sleep(d.ctx, surveyInterval)
 	}
 }
 
-// loadProgress reads the progress records of the pool by job, until it has or the duty
-// ends.
+// loadProgress reads the progress records of the pool by job ID and retries until it
+// succeeds or the duty ends.
 func (d *poolDuty) loadProgress() map[string]*jaywire.JobProgress {
 	c := &progressCollector{pool: d.name, byJob: map[string]*jaywire.JobProgress{}, logger: d.logger}
 	tail := jaytail.New(d.node.store, d.node.ports.Formats.Own(topicProgress, d.node.partitionOf(d.name)),
@@ -116,40 +116,40 @@
 		if err == nil {
 			break
 		}
-		d.logger.Info("progress not read yet", "error", err.Error())
-		jayclock.Sleep(d.ctx, retryPause)
+		d.logger.Info("reading job progress failed; retrying", "error", err.Error())
+		jayclock.Sleep(d.ctx, storeRetryDelay)
 	}
 	return c.byJob
 }
 
-// progressCollector collects a pool's progress records. One that cannot be read
-// stands for nil: the pool is taken over all the same.
+// progressCollector collects a pool's progress records by job ID. A record that cannot be
+// decoded becomes nil, so that it does not prevent the takeover of the pool.
 type progressCollector struct {
 	pool   string
 	byJob  map[string]*jaywire.JobProgress
 	logger logr.Logger
 }
 
-// Reset begins a load.
+// Reset discards the collected records before a reload.
 func (c *progressCollector) Reset() { clear(c.byJob) }
 
-// Apply takes in a progress record.
+// Apply decodes a progress record.
 func (c *progressCollector) Apply(r jayport.Record) {
 	if r.Value == nil {
 		return
 	}
 	record := &jaywire.JobProgress{}
 	if err := proto.Unmarshal(r.Value, record); err != nil {
-		c.logger.Error(err, "progress unreadable", "key", r.Key)
+		c.logger.Error(err, "job progress cannot be decoded", "key", r.Key)
 		record = nil
 	}
 	c.byJob[jobID(c.pool, r.Key)] = record
 }
 
-// CaughtUp is called after the load.
+// CaughtUp implements jaytail.Handler and does nothing.
 func (c *progressCollector) CaughtUp(time.Duration) {}
 
-// progressRecords are the records of a batch, in the order of their keys.
+// progressRecords returns the records of a batch, sorted by key.
 func (d *poolDuty) progressRecords(batch *jaysched.Batch) []jayport.Record {
 	var records []jayport.Record
 	for id, progress := range batch.Progress {
@@ -158,7 +158,7 @@
 		}
 		value, err := proto.Marshal(progress)
 		if err != nil {
-			d.logger.Error(err, "progress cannot be written", "job", id)
+			d.logger.Error(err, "job progress cannot be encoded", "job", id)
 			continue
 		}
 		records = append(records, jayport.Record{Key: jobKey(d.name, id), Value: value})
@@ -167,11 +167,12 @@
 	return records
 }
 
-// jobTail follows the jobs that are submitted for a pool.
+// jobTail reads the jobs that are submitted for a pool.
 type jobTail struct {
 	duty *poolDuty
 	tail *jaytail.Tail
-	// loaded are the jobs that were read before their progress was, by their IDs.
+	// loaded holds the jobs that were read during the takeover by ID, until their
+	// progress is known.
 	loaded  map[string]*jayspec.Job
 	loading bool
 	open    int
@@ -182,17 +183,17 @@
 	t := &jobTail{duty: d, loading: true, loaded: map[string]*jayspec.Job{}}
 	n := d.node
 	t.tail = jaytail.New(n.store, n.ports.Formats.Own(topicJobs, n.partitionOf(d.name)),
-		jaytail.Options{Prefix: d.name + "/", Wait: jobsWait, Pause: jobsPause}, t, n.clock, d.logger)
+		jaytail.Options{Prefix: d.name + "/", Wait: jobsWait, Pause: jobsReadDelay}, t, n.clock, d.logger)
 	return t
 }
 
-// Reset begins a load. Jobs that are known stay.
+// Reset implements jaytail.Handler; known jobs are kept.
 func (t *jobTail) Reset() {}
 
-// CaughtUp is called after each read.
+// CaughtUp implements jaytail.Handler and does nothing.
 func (t *jobTail) CaughtUp(time.Duration) {}
 
-// Apply takes in a job.
+// Apply decodes a job's declaration and passes the job to the pool.
 func (t *jobTail) Apply(r jayport.Record) {
 	id := jobID(t.duty.name, r.Key)
 	if r.Value == nil {
@@ -200,7 +201,7 @@
 	}
 	job, err := decodeJob(t.duty.name, id, r.Value)
 	if err != nil {
-		t.duty.logger.Error(err, "job unreadable", "job", id, "offset", r.Offset)
+		t.duty.logger.Error(err, "job declaration cannot be decoded", "job", id, "offset", r.Offset)
 		return
 	}
 	if t.loading {
@@ -210,8 +211,8 @@
 	t.duty.declare(job, "read", t.duty.pool.DeclareFound)
 }
 
-// declare hands a job that is stored to the pool. A job that it knows already
-// stays as it is.
+// declare passes a stored job to the pool. A job that the pool already knows is left
+// unchanged.
 func (d *poolDuty) declare(job *jayspec.Job, how string, declare func(*jayspec.Job, time.Duration) bool) {
 	d.post(func(now time.Duration) {
 		d.known.Store(job.ID, true)
@@ -221,7 +222,8 @@
 	})
 }
 
-// expect tells the duty of a pool, if it is here, of a job that is about to be stored.
+// expect tells the duty of a pool, if this entry owns the pool, of a job that is about to
+// be stored.
 func (n *Node) expect(pool, id string, value []byte) {
 	duty := n.ownedPool(pool)
 	if duty == nil || !duty.loaded.Load() {
@@ -232,8 +234,8 @@
 	}
 }
 
-// declareStored hands a job that this entry has just stored to the duty of its
-// pool, if that is here.
+// declareStored passes a job that this entry has just stored to the duty of its pool, if
+// this entry owns the pool.
 func (n *Node) declareStored(pool, id string, value []byte) {
 	duty := n.ownedPool(pool)
 	if duty == nil {
@@ -241,14 +243,14 @@
 	}
 	job, err := decodeJob(pool, id, value)
 	if err != nil {
-		duty.logger.Error(err, "job unreadable", "job", id)
+		duty.logger.Error(err, "job declaration cannot be decoded", "job", id)
 		return
 	}
 	duty.declare(job, "stored", duty.pool.Declare)
 }
 
-// knows reports whether this entry owns a pool and knows a job of it. What it
-// knows has been read from the store, or stored by this entry.
+// knows reports whether this entry owns a pool and knows a job of it. Known jobs have
+// been read from the store or stored by this entry.
 func (n *Node) knows(pool, id string) bool {
 	duty := n.ownedPool(pool)
 	if duty == nil || !duty.loaded.Load() {
@@ -275,8 +277,8 @@
 	t.duty.logger.Info("job declared", "job", job.ID, "queue", job.Queue, "steps", job.Summary(), "coreSeconds", job.Work(), "within", pool.TimeFor(job.ID).String(), "restored", true)
 }
 
-// finishLoad adds the jobs that were read, and the ended ones whose declarations
-// were removed. From now on the tail runs in a goroutine of its own.
+// finishLoad restores the jobs that were read, and the ended jobs whose declarations have
+// already been removed. From then on the tail runs in its own goroutine.
 func (t *jobTail) finishLoad(recorded map[string]*jaywire.JobProgress) {
 	now := t.duty.node.clock()
 	for _, id := range slices.Sorted(maps.Keys(t.loaded)) {
