--- a/jaymember/claims.go
+++ b/jaymember/claims.go
@@ -12,39 +12,40 @@
 )
 
 const (
-	// claimPause is between two looks for vacant duties.
-	claimPause = 50 * time.Millisecond
-	// rankDelay is how long a candidate waits at least for each one that ranks
-	// before it: an append and its way to all readers take some of that.
+	// claimInterval is the time between two checks for vacant duties.
+	claimInterval = 50 * time.Millisecond
+	// rankDelay is the least time that a candidate waits for each candidate that ranks
+	// before it. An append and its way to all readers take part of that time.
 	rankDelay = 150 * time.Millisecond
-	// rankLatencies is the same in appends, for a store that is slow: it takes
-	// the appends to a partition one by one, also those that are turned down.
+	// rankLatencies is the same delay as a multiple of the store's append latency; the
+	// larger of the two applies. A slow store processes the appends to a partition one by
+	// one, including those that it rejects.
 	rankLatencies = 3
-	// claimTimeout bounds the append of a claim. A slow store takes several
-	// hundred milliseconds.
+	// claimTimeout limits the duration of the append of a claim. A slow store takes
+	// several hundred milliseconds.
 	claimTimeout = 1500 * time.Millisecond
-	// settleTime is after this entry's start before it claims whatever is
-	// vacant, so that entries that start together know of each other: a weak one
-	// takes half a second until it is announced. One that claims too early takes
-	// all duties.
+	// settleTime is the time after this entry's start before it claims any vacant duty,
+	// so that entries that are started together know of each other: a weak entry takes
+	// half a second until it is announced. An entry that claims too early takes all
+	// duties.
 	settleTime = 900 * time.Millisecond
-	// ownShareTime is after this entry's start before it claims the duties that
-	// fall to its name: the claims and the entries must have been read.
-	ownShareTime = 100 * time.Millisecond
+	// ownShareDelay is the time after this entry's start before it claims its own share
+	// of the duties. The claims and the entries must have been read by then.
+	ownShareDelay = 100 * time.Millisecond
 )
 
 // claim claims vacant duties until the context ends.
 func (o *Owners) claim(ctx context.Context) {
-	jayclock.Sleep(ctx, ownShareTime)
+	jayclock.Sleep(ctx, ownShareDelay)
 	for ctx.Err() == nil {
 		if !o.members.Stopping() {
 			o.claimVacant(ctx)
 		}
-		jayclock.Sleep(ctx, claimPause)
+		jayclock.Sleep(ctx, claimInterval)
 	}
 }
 
-// claimVacant claims the duties whose turn it is for this entry.
+// claimVacant claims the vacant duties that this entry should claim now.
 func (o *Owners) claimVacant(ctx context.Context) {
 	view := o.table.Load()
 	if view == nil {
@@ -55,7 +56,7 @@
 	if len(vacant) == 0 {
 		return
 	}
-	records := o.claimsOf(view, vacant, now)
+	records := o.dueClaims(view, vacant, now)
 	if len(records) == 0 {
 		return
 	}
@@ -63,8 +64,8 @@
 	o.awaitRead(ctx, view.next)
 }
 
-// append appends claims unless some claim was made since this entry looked. One whose
-// answer is lost shows in the tail like any other.
+// append appends claims unless another claim was appended since the view was read. A
+// claim whose answer is lost is read from the store like any other.
 func (o *Owners) append(view *View, claims ...jayport.Record) {
 	_, err := o.members.Store.Append(jayport.Append{
 		Partition: o.members.Formats.Own(topicOwners, 0),
@@ -77,12 +78,12 @@
 	}
 }
 
-// claimsOf returns the claims that this entry should make now.
-func (o *Owners) claimsOf(view *View, vacant []jayowner.Duty, now time.Duration) []jayport.Record {
+// dueClaims returns the claims that this entry should make now.
+func (o *Owners) dueClaims(view *View, vacant []jayowner.Duty, now time.Duration) []jayport.Record {
 	if !o.settled(now) {
 		return o.ownShare(view, vacant, now)
 	}
-	rankings := jayowner.Rankings(vacant, held(view), o.candidates(now))
+	rankings := jayowner.Rankings(vacant, dutyCounts(view), o.candidates(now))
 	delay := max(rankDelay, rankLatencies*o.members.Store.Latency())
 	var records []jayport.Record
 	for _, d := range vacant {
@@ -90,13 +91,13 @@
 		if rank < 0 || now-o.vacantSince[d] < time.Duration(rank)*delay {
 			continue
 		}
-		records = append(records, o.claimOf(view, d, rank, now))
+		records = append(records, o.claimRecord(view, d, rank, now))
 	}
 	return records
 }
 
-// claimOf returns the record that claims a duty.
-func (o *Owners) claimOf(view *View, d jayowner.Duty, rank int, now time.Duration) jayport.Record {
+// claimRecord returns the record that claims a duty.
+func (o *Owners) claimRecord(view *View, d jayowner.Duty, rank int, now time.Duration) jayport.Record {
 	former, _ := view.Claim(d)
 	o.logger.Info("claiming", "duty", string(d), "rank", rank, "former", former.Incarnation, "vacantFor", (now - o.vacantSince[d]).String())
 	return jayowner.Claim{
@@ -108,16 +109,16 @@
 	}.Record()
 }
 
-// settled reports whether entries that started together with this one should be
-// known by now.
+// settled reports whether settleTime has passed, so that entries that were started
+// together with this one should be known.
 func (o *Owners) settled(now time.Duration) bool {
 	return now-o.members.StartedAt >= settleTime
 }
 
-// ownShare returns the claims of the vacant duties that fall to this entry's
-// name among all names that were ever announced. After the loss of all entries
-// nobody knows yet who is back; names are known to all, so that each entry takes
-// other duties, and no pool waits until all entries have settled.
+// ownShare returns the claims of the vacant duties that are assigned to this entry among
+// all entry names that were ever announced. After the loss of all entries it is not known
+// which ones are running again, but all entries know the names. So each entry claims
+// different duties, and no pool waits until settleTime has passed.
 func (o *Owners) ownShare(view *View, vacant []jayowner.Duty, now time.Duration) []jayport.Record {
 	var candidates []jayowner.Candidate
 	for name, e := range o.members.Entries.names() {
@@ -126,16 +127,17 @@
 	share := jayowner.Share(o.members.Duties(), candidates, o.members.Entry)
 	var records []jayport.Record
 	for _, d := range vacant {
-		// A duty that never had an owner is one of a first start, when no name
-		// is known either.
+		// A duty that never had an owner belongs to a first start, when no names are
+		// known either.
 		if _, owned := view.Claim(d); owned && slices.Contains(share, d) {
-			records = append(records, o.claimOf(view, d, 0, now))
+			records = append(records, o.claimRecord(view, d, 0, now))
 		}
 	}
 	return records
 }
 
-// awaitRead waits a moment until the claims were read past an offset.
+// awaitRead waits until the claims have been read past an offset, for a short time at
+// most.
 func (o *Owners) awaitRead(ctx context.Context, offset int64) {
 	const looks, pause = 20, 10 * time.Millisecond
 	for range looks {
@@ -146,12 +148,13 @@
 	}
 }
 
-// vacant returns the duties that nobody carries out, and notes since when.
+// vacant returns the duties without an active owner and records since when they have been
+// vacant.
 func (o *Owners) vacant(view *View, now time.Duration) []jayowner.Duty {
 	var vacant []jayowner.Duty
 	for _, d := range o.members.Duties() {
 		c, claimed := view.Claim(d)
-		if claimed && !c.Released && !o.members.Liveness.hasEndedBy(c.Incarnation, o.timeoutFactorOf(d, now), now) {
+		if claimed && !c.Released && !o.members.Liveness.hasEndedWithin(c.Incarnation, o.timeoutFactorOf(d, now), now) {
 			delete(o.vacantSince, d)
 			continue
 		}
@@ -163,8 +166,8 @@
 	return vacant
 }
 
-// held counts the duties of each owner.
-func held(view *View) map[string]int {
+// dutyCounts returns the number of duties of each owner.
+func dutyCounts(view *View) map[string]int {
 	held := map[string]int{}
 	for _, c := range view.Claims() {
 		if !c.Released {
@@ -174,7 +177,7 @@
 	return held
 }
 
-// candidates are the entries that are not known to have ended.
+// candidates returns the entries that are not presumed to have ended.
 func (o *Owners) candidates(now time.Duration) []jayowner.Candidate {
 	candidates := []jayowner.Candidate{{Incarnation: o.members.Incarnation, Strength: o.members.ProcessorsMilli, Started: o.members.Started.UnixMilli()}}
 	for _, e := range o.members.Entries.All() {
@@ -185,7 +188,7 @@
 	return candidates
 }
 
-// Release gives up this entry's duties, so that others claim them at once.
+// Release releases this entry's duties, so that other entries claim them at once.
 func (o *Owners) Release() {
 	view := o.table.Load()
 	if view == nil {
--- a/jaymember/entries.go
+++ b/jaymember/entries.go
@@ -14,7 +14,8 @@
 	"jaythread/jaywire"
 )
 
-// Entries follows which entries run.
+// Entries holds the announcements of all entries. It is the handler of the tail that
+// reads them.
 type Entries struct {
 	members *Members
 	logger  logr.Logger
@@ -28,14 +29,14 @@
 	return &Entries{members: m, logger: m.Logger.WithName("entries"), byName: map[string]*jaywire.EntryRecord{}}
 }
 
-// Reset begins a load.
+// Reset discards all announcements before a reload.
 func (e *Entries) Reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	clear(e.byName)
 }
 
-// Apply takes in the announcement of an entry; its key is the entry's name.
+// Apply decodes the announcement of an entry; its key is the entry's name.
 func (e *Entries) Apply(r jayport.Record) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,20 +46,20 @@
 	}
 	record := &jaywire.EntryRecord{}
 	if err := proto.Unmarshal(r.Value, record); err != nil {
-		e.logger.Error(err, "entry unreadable", "entry", r.Key)
+		e.logger.Error(err, "entry announcement cannot be decoded", "entry", r.Key)
 		return
 	}
 	e.byName[r.Key] = record
 }
 
-// CaughtUp notes how fresh the list is.
+// CaughtUp sets the time up to which the announcements have been read.
 func (e *Entries) CaughtUp(asOf time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.asOf = asOf
 }
 
-// All returns the entries that were announced.
+// All returns the newest announcement of each entry.
 func (e *Entries) All() []*jaywire.EntryRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,17 +70,17 @@
 	return list
 }
 
-// names returns the newest announcement under each name, also of entries that
-// have ended since.
+// names returns the newest announcement by entry name, including entries that have ended
+// since.
 func (e *Entries) names() map[string]*jaywire.EntryRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.byName)
 }
 
-// restarted reports whether a process was started under the name of an incarnation
-// after a time of day. An announcement may arrive seconds late, after that of the
-// next process; the one of a process that was started before says nothing.
+// restarted reports whether another process of the same entry was started after a given
+// time of day. An announcement may arrive seconds late, after that of the next process,
+// so that a different incarnation that was started before proves nothing.
 func (e *Entries) restarted(incarnation string, after time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,7 +88,7 @@
 	return known && present.Incarnation != incarnation && present.StartedUnixMillis > after.UnixMilli()
 }
 
-// AddrOf returns the peer address of an incarnation, or an empty one.
+// AddrOf returns the peer address of an incarnation, or an empty string if it is unknown.
 func (e *Entries) AddrOf(incarnation string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,10 +100,10 @@
 	return ""
 }
 
-// announcePause is before an announcement that failed is made again.
-const announcePause = 300 * time.Millisecond
+// announceRetryDelay is the delay before a failed announcement is repeated.
+const announceRetryDelay = 300 * time.Millisecond
 
-// announce tells the other entries that this one runs.
+// announce announces this entry to the others and retries until the store accepts it.
 func (e *Entries) announce(ctx context.Context) {
 	value, err := proto.Marshal(&jaywire.EntryRecord{
 		Incarnation:       e.members.Incarnation,
@@ -113,7 +114,7 @@
 		StartedUnixMillis: e.members.Started.UnixMilli(),
 	})
 	if err != nil {
-		e.logger.Error(err, "announcement cannot be written")
+		e.logger.Error(err, "announcement cannot be encoded")
 		return
 	}
 	for ctx.Err() == nil {
@@ -125,7 +126,7 @@
 		if err == nil {
 			return
 		}
-		e.logger.Info("not announced yet", "error", err.Error())
-		jayclock.Sleep(ctx, announcePause)
+		e.logger.Info("announcing this entry failed; retrying", "error", err.Error())
+		jayclock.Sleep(ctx, announceRetryDelay)
 	}
 }
--- a/jaymember/entries_test.go
+++ b/jaymember/entries_test.go
@@ -12,12 +12,11 @@
 	"jaythread/jaywire"
 )
 
-func TestActorsThatWereRestartedHaveEnded(t *testing.T) {
-	// Symptom: after all entries lost power, a pool in its rush gets no host for
-	// three seconds.
-	// Sequence: an entry moves hosts, gives its duties up and is restarted; a moment
-	// later all entries are lost; the next owner of the fleet keeps off these hosts.
-	// Cause: only an actor that owned a duty last was known to have ended.
+func TestRestartedActorHasEnded(t *testing.T) {
+	// Guards against a pool under peak load that gets no host for three seconds after all
+	// entries lost power. An entry moved hosts, released its duties and was restarted
+	// shortly before the power loss. The fleet's new owner left these hosts alone, since
+	// only the last owner of a duty was known to have ended.
 	is := is.New(t)
 	m := newTestMembers(t, "e1", newMemoryStore(), jayclock.Since(time.Now()))
 	acted := time.UnixMilli(1_000_000)
@@ -26,12 +25,12 @@
 		is.NoErr(err)
 		m.Entries.Apply(jayport.Record{Key: "e2", Value: value})
 	}
-	is.True(!m.Liveness.Ended("e2-00000001", acted)) // nothing is known
+	is.True(!m.Liveness.Ended("e2-00000001", acted)) // no announcement yet
 	announce("e2-00000001", acted.Add(-time.Minute))
 	is.True(!m.Liveness.Ended("e2-00000001", acted))
 	announce("e2-00000002", acted.Add(time.Second))
 	is.True(m.Liveness.Ended("e2-00000001", acted))
 	is.True(!m.Liveness.Ended("e2-00000002", acted))
-	announce("e2-00000000", acted.Add(-time.Hour)) // of a process before both, late
+	announce("e2-00000000", acted.Add(-time.Hour)) // late announcement of an earlier process
 	is.True(!m.Liveness.Ended("e2-00000002", acted))
 }
--- a/jaymember/fakes_test.go
+++ b/jaymember/fakes_test.go
@@ -16,11 +16,11 @@
 	"jaythread/jaywire"
 )
 
-// memoryStore is the platform's store, with one partition a topic.
+// memoryStore is an in-memory store with one partition for each topic.
 type memoryStore struct {
 	mu      sync.Mutex
 	records map[jayport.Partition][]jayport.Record
-	// refuse turns all calls away.
+	// refuse rejects all calls.
 	refuse bool
 }
 
@@ -34,7 +34,7 @@
 	s.refuse = on
 }
 
-// Append adds records, if nothing came since the offset of the condition.
+// Append adds records unless other records follow the offset of the condition.
 func (s *memoryStore) Append(a jayport.Append, _ time.Duration) (jayport.Appended, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,26 +79,27 @@
 	return latest, nil
 }
 
-// noPeers are peers that cannot be asked.
+// noPeers has no peers to relay store calls.
 type noPeers struct{}
 
-// Incarnations returns none.
+// Incarnations returns no incarnations.
 func (noPeers) Incarnations() []string { return nil }
 
-// Relay reaches nobody.
+// Relay always fails.
 func (noPeers) Relay(string, *jaywire.StoreCall) (*jaywire.StoreResult, error) {
 	return nil, jayport.ErrNoAnswer
 }
 
-// testFormats keep each topic in one partition.
+// testFormats maps each topic to one partition.
 type testFormats struct{ jayport.Formats }
 
-// Own is a partition of the program's own.
+// Own returns a partition of a topic of the program.
 func (testFormats) Own(topic string, number int) jayport.Partition {
 	return jayport.Partition{Topic: topic, Number: number}
 }
 
-// newTestMembers returns the membership of an entry whose parts a test runs one by one.
+// newTestMembers returns a membership that is not started, so that a test can run its
+// parts one by one.
 func newTestMembers(t *testing.T, entry string, store *memoryStore, clock jayclock.Clock) *Members {
 	t.Helper()
 	return New(Options{
@@ -114,7 +115,7 @@
 	})
 }
 
-// publish makes a membership believe some claims.
+// publish sets the claims that the membership knows, as of now.
 func (m *Members) publish(claims ...jayowner.Claim) {
 	table := jayowner.NewTable()
 	for n, c := range claims {
--- a/jaymember/heartbeat.go
+++ b/jaymember/heartbeat.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// heartbeatPause is between two heartbeats that an owner writes to the store.
-	heartbeatPause = 200 * time.Millisecond
-	// heartbeatLatencies is the same in appends, for a store that is slow.
+	// heartbeatInterval is the time between two heartbeats that an owner writes to the
+	// store.
+	heartbeatInterval = 200 * time.Millisecond
+	// heartbeatLatencies is the same interval as a multiple of the store's append
+	// latency, for a store that is slow. The larger of the two applies.
 	heartbeatLatencies = 3
-	// suspectPause is between two looks at the heartbeats while an owner is
-	// suspected.
-	suspectPause = 60 * time.Millisecond
+	// heartbeatPollInterval is the time between two reads of the heartbeats of suspected
+	// owners.
+	heartbeatPollInterval = 60 * time.Millisecond
 )
 
 // writeHeartbeats writes heartbeats while this entry owns a duty.
@@ -32,46 +34,46 @@
 				l.logger.V(1).Info("heartbeat not written", "error", err.Error())
 			}
 		}
-		jayclock.Sleep(ctx, max(heartbeatPause, heartbeatLatencies*l.members.Store.Latency()))
+		jayclock.Sleep(ctx, max(heartbeatInterval, heartbeatLatencies*l.members.Store.Latency()))
 	}
 }
 
-// heartbeatAt is the value of a heartbeat: the writer's own clock, in microseconds.
+// heartbeatAt returns the value of a heartbeat: the writer's own clock in microseconds.
 func heartbeatAt(clock time.Duration) []byte {
 	return strconv.AppendInt(nil, clock.Microseconds(), 10)
 }
 
-// writtenAt reads a heartbeat.
+// writtenAt returns the time on the writer's clock at which a heartbeat was written.
 func writtenAt(heartbeat []byte) (clock time.Duration, known bool) {
 	n, err := strconv.ParseInt(string(heartbeat), 10, 64)
 	return time.Duration(n) * time.Microsecond, err == nil
 }
 
-// heartbeatsOf returns the partition of an incarnation's heartbeats. They are spread, so
-// that a slow store takes them side by side.
+// heartbeatsOf returns the partition of an incarnation's heartbeats. Heartbeats are
+// spread over the partitions, so that a slow store processes them in parallel.
 func (m *Members) heartbeatsOf(incarnation string) jayport.Partition {
 	return m.Formats.Own(topicHeartbeats, m.Partition(incarnation))
 }
 
-// lookAtHeartbeats reads the heartbeats while an owner is suspected.
-func (l *Liveness) lookAtHeartbeats(ctx context.Context) {
+// pollHeartbeats reads the heartbeats of suspected owners until the context ends.
+func (l *Liveness) pollHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.look()
-		jayclock.Sleep(ctx, suspectPause)
+		l.checkHeartbeats()
+		jayclock.Sleep(ctx, heartbeatPollInterval)
 	}
 }
 
-// look compares the newest heartbeats of the suspects with those seen before. While
-// the store does not answer, nobody's heartbeat counts as missing.
-func (l *Liveness) look() {
+// checkHeartbeats reads the newest heartbeat of each suspected owner. While the store
+// does not answer, no heartbeat counts as missing.
+func (l *Liveness) checkHeartbeats() {
 	for _, incarnation := range l.suspected() {
 		heartbeat, err := l.newestHeartbeat(incarnation)
 		if err != nil {
 			l.logger.V(1).Info("heartbeats not read", "error", err.Error())
-			l.excuse()
+			l.restartTimeouts()
 			return
 		}
-		l.seeHeartbeat(incarnation, heartbeat)
+		l.recordHeartbeat(incarnation, heartbeat)
 	}
 }
 
@@ -85,7 +87,8 @@
 	return suspects
 }
 
-// newestHeartbeat returns the newest heartbeat of an incarnation; one that wrote none has offset -1.
+// newestHeartbeat returns the newest heartbeat of an incarnation, or a record with offset
+// -1 if there is none.
 func (l *Liveness) newestHeartbeat(incarnation string) (jayport.Record, error) {
 	after := jayport.KeyBefore(incarnation)
 	latest, err := l.members.Store.Latest(l.members.heartbeatsOf(incarnation), after, jayport.CallTimeout)
@@ -100,39 +103,41 @@
 	return jayport.Record{Offset: -1}, nil
 }
 
-// seeHeartbeat takes in the newest heartbeat of a suspect.
-func (l *Liveness) seeHeartbeat(incarnation string, heartbeat jayport.Record) {
+// recordHeartbeat updates a suspicion with the owner's newest heartbeat.
+func (l *Liveness) recordHeartbeat(incarnation string, heartbeat jayport.Record) {
 	now := l.members.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s, suspected := l.suspicions[incarnation]
-	if !suspected || s.looked && heartbeat.Offset == s.offset {
+	if !suspected || s.heartbeatRead && heartbeat.Offset == s.offset {
 		return
 	}
-	s.looked, s.offset = true, heartbeat.Offset
-	s.quietSince = l.lastSign(s, incarnation, heartbeat, now)
+	s.heartbeatRead, s.offset = true, heartbeat.Offset
+	s.silentSince = l.lastSignOfLife(s, incarnation, heartbeat, now)
 }
 
-// lastSign is when a suspect gave its last sign of life, for all that is known: its
-// newest heartbeat says by its own clock when it was written, and its answers to pings how
-// that clock relates to this one. Counted from the first look at the heartbeats, the loss of
-// an owner would be noticed later: it is suspected only when a ping has timed out. While
-// the store is away no heartbeat can be written.
-func (l *Liveness) lastSign(s *suspicion, incarnation string, heartbeat jayport.Record, now time.Duration) time.Duration {
+// lastSignOfLife returns when a suspected owner was last known to be alive, on this
+// entry's clock. The newest heartbeat holds the time of the owner's own clock at which it
+// was written, and the owner's answers to pings relate that clock to this one. If the
+// time were counted from the first read of the heartbeats, the loss of an owner would be
+// detected later, since an owner is suspected only after a ping has timed out. While the
+// store is unavailable no heartbeat can be written, so the time does not start before the
+// store is back.
+func (l *Liveness) lastSignOfLife(s *suspicion, incarnation string, heartbeat jayport.Record, now time.Duration) time.Duration {
 	written, readable := writtenAt(heartbeat.Value)
 	clock, known := l.clocks[incarnation]
-	if s.excused || !readable || !known {
+	if s.storeFailed || !readable || !known {
 		return now
 	}
-	sign := max(clock.By(written), l.heard[incarnation], l.members.Store.RegainedAt())
+	sign := max(clock.By(written), l.lastAnswered[incarnation], l.members.Store.RegainedAt())
 	return min(sign, now)
 }
 
-// excuse restarts the timeout of all suspects.
-func (l *Liveness) excuse() {
+// restartTimeouts restarts the timeouts of all suspected owners.
+func (l *Liveness) restartTimeouts() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.suspicions {
-		s.looked, s.excused = false, true
+		s.heartbeatRead, s.storeFailed = false, true
 	}
 }
--- a/jaymember/incarnation.go
+++ b/jaymember/incarnation.go
@@ -2,15 +2,16 @@
 
 import "github.com/google/uuid"
 
-// incarnationDigits tell the processes apart that were started under one name.
+// incarnationDigits is the number of random digits that distinguish the processes of one
+// entry.
 const incarnationDigits = 8
 
-// NewIncarnation returns a name for a process of an entry that no other one has.
+// NewIncarnation returns a unique name for a process of an entry.
 func NewIncarnation(entry string) string {
 	return entry + "-" + uuid.NewString()[:incarnationDigits]
 }
 
-// entryOf returns the name of the entry of an incarnation.
+// entryOf returns the name of the entry that an incarnation belongs to.
 func entryOf(incarnation string) string {
 	return incarnation[:max(0, len(incarnation)-incarnationDigits-1)]
 }
--- a/jaymember/liveness.go
+++ b/jaymember/liveness.go
@@ -17,117 +17,122 @@
 )
 
 const (
-	// pingPause is between two signs of life asked of each owner.
-	pingPause = 150 * time.Millisecond
-	// pingTimeout bounds one of them. An entry answers within some
-	// milliseconds, a slowed one within some tens.
+	// pingInterval is the time between two pings of each owner.
+	pingInterval = 150 * time.Millisecond
+	// pingTimeout limits the duration of a ping. An entry answers within some
+	// milliseconds, a slowed one within some tens of milliseconds.
 	pingTimeout = 350 * time.Millisecond
-	// refusedTimeout is how long an owner whose port is closed may be without
-	// a heartbeat before it counts as ended: a little more than one heartbeat.
+	// refusedTimeout is how long an owner whose port is closed may go without a heartbeat
+	// before it is presumed to have ended. It is slightly longer than the interval
+	// between two heartbeats.
 	refusedTimeout = 320 * time.Millisecond
-	// silentTimeout is the same for an owner that does not answer: three
-	// heartbeats, since it may only be slow.
+	// silentTimeout is the same limit for an owner that does not answer pings. It allows
+	// for three heartbeats, since the owner may only be slow.
 	silentTimeout = 650 * time.Millisecond
-	// isolatedTimeout is how long an owner may be silent here that still
-	// writes its heartbeats. If this entry reaches others, it is the owner that is
-	// cut off, and callers cannot ask it.
+	// isolatedTimeout is how long an owner that still writes heartbeats may leave the
+	// pings of this entry unanswered. If this entry reaches the others, it is the owner
+	// that is cut off, and callers cannot reach it.
 	isolatedTimeout = 2500 * time.Millisecond
-	// heardWithin is how recently others must have answered for that.
-	heardWithin = time.Second
-	// othersPinged is how many entries that own nothing are pinged as well, to
-	// know whether this entry is cut off itself.
+	// recentAnswer is how recently the other entries must have answered a ping for this
+	// entry to count as reaching them.
+	recentAnswer = time.Second
+	// othersPinged is how many entries without duties are pinged in each round, so that
+	// this entry can tell whether it is cut off itself.
 	othersPinged = 2
 )
 
-// Liveness tells owners that have ended from those that this entry merely does
-// not reach. An entry that is cut off from its peers, but not from the store,
-// would otherwise take all duties from owners that are well: only an owner
-// that neither answers nor writes its heartbeats counts as ended.
+// Liveness distinguishes owners that have ended from owners that this entry only cannot
+// reach. An owner is presumed to have ended if it neither answers pings nor writes
+// heartbeats. With pings alone, an entry that is cut off from its peers, but not from the
+// store, would take over all duties of healthy owners.
 type Liveness struct {
 	members *Members
 	logger  logr.Logger
 
 	mu sync.Mutex
-	// suspicions are of the owners whose last ping failed.
+	// suspicions holds the owners whose last ping failed.
 	suspicions map[string]*suspicion
-	// replaced are incarnations that have ended for certain: another one answers
-	// at their address.
+	// replaced is the set of incarnations that have certainly ended: another incarnation
+	// answers at their address.
 	replaced map[string]bool
-	// clocks are those of the entries that have answered a ping.
+	// clocks holds the clocks of the owners that have answered a ping.
 	clocks map[string]PeerClock
-	// heard is when each entry last answered a ping.
-	heard map[string]time.Duration
-	// tried is when each entry was last pinged.
-	tried map[string]time.Duration
-	turn  int
-	link  *jaypeer.Client
+	// lastAnswered is when each entry last answered a ping.
+	lastAnswered map[string]time.Duration
+	// lastPinged is when each entry was last pinged.
+	lastPinged map[string]time.Duration
+	nextOther  int
+	link       *jaypeer.Client
 }
 
-// suspicion is what speaks against an owner.
+// suspicion is the state of an owner whose last ping failed.
 type suspicion struct {
 	since time.Duration
-	// refused says that its port is closed.
+	// refused is set if the owner's port is closed.
 	refused bool
-	// offset is that of its newest heartbeat, quietSince since when it has given no sign of
-	// life; both are known after the first look.
-	offset     int64
-	looked     bool
-	quietSince time.Duration
-	// excused says that the store did not answer meanwhile, so that heartbeats may be
-	// missing that it would have written.
-	excused bool
+	// offset is the offset of the owner's newest heartbeat, and silentSince is when the
+	// owner was last known to be alive. Both are set once the heartbeat has been read.
+	offset        int64
+	heartbeatRead bool
+	silentSince   time.Duration
+	// storeFailed is set if the store did not answer during the suspicion, so that the
+	// owner may have been unable to write heartbeats.
+	storeFailed bool
 }
 
 func newLiveness(m *Members) *Liveness {
 	return &Liveness{
-		members:    m,
-		logger:     m.Logger.WithName("liveness"),
-		suspicions: map[string]*suspicion{},
-		clocks:     map[string]PeerClock{},
-		replaced:   map[string]bool{},
-		heard:      map[string]time.Duration{},
-		tried:      map[string]time.Duration{},
-		link:       jaypeer.NewClient(m.Incarnation, pingTimeout, nil),
+		members:      m,
+		logger:       m.Logger.WithName("liveness"),
+		suspicions:   map[string]*suspicion{},
+		clocks:       map[string]PeerClock{},
+		replaced:     map[string]bool{},
+		lastAnswered: map[string]time.Duration{},
+		lastPinged:   map[string]time.Duration{},
+		link:         jaypeer.NewClient(m.Incarnation, pingTimeout, nil),
 	}
 }
 
-// start begins to ask owners for signs of life and to give this entry's own.
+// start starts the pings, this entry's heartbeats and the reads of the heartbeats of
+// suspected owners.
 func (l *Liveness) start(ctx context.Context) {
-	l.members.Go(func() { l.watch(ctx) })
+	l.members.Go(func() { l.pingOwners(ctx) })
 	l.members.Go(func() { l.writeHeartbeats(ctx) })
-	l.members.Go(func() { l.lookAtHeartbeats(ctx) })
+	l.members.Go(func() { l.pollHeartbeats(ctx) })
 }
 
-// HasEnded reports whether an incarnation has ended, for all that is known.
+// HasEnded reports whether an incarnation is presumed to have ended. It may be wrong;
+// Ended is certain.
 func (l *Liveness) HasEnded(incarnation string, now time.Duration) bool {
-	return l.hasEndedBy(incarnation, 1, now)
+	return l.hasEndedWithin(incarnation, 1, now)
 }
 
-// hasEndedBy is the same with longer timeouts: an incarnation may be silent so many times as
-// long as usual. A closed port speaks for itself.
-func (l *Liveness) hasEndedBy(incarnation string, factor int, now time.Duration) bool {
+// hasEndedWithin is HasEnded with the timeouts for silent and isolated owners multiplied
+// by a factor. The timeout for a closed port stays, since a closed port is not a sign of
+// slowness.
+func (l *Liveness) hasEndedWithin(incarnation string, factor int, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.replaced[incarnation] {
 		return true
 	}
 	s, suspected := l.suspicions[incarnation]
-	if !suspected || !s.looked {
+	if !suspected || !s.heartbeatRead {
 		return false
 	}
 	timeout := time.Duration(factor) * silentTimeout
 	if s.refused {
 		timeout = refusedTimeout
 	}
-	if now-s.quietSince > timeout {
+	if now-s.silentSince > timeout {
 		return true
 	}
-	return now-s.since > time.Duration(factor)*isolatedTimeout && l.hearsOthers(incarnation, now)
+	return now-s.since > time.Duration(factor)*isolatedTimeout && l.reachesOthers(incarnation, now)
 }
 
-// Ended reports whether the process of an incarnation that acted at a time of day
-// has ended for certain: another one answers at its address, or was started under
-// its name since.
+// Ended reports whether the process of an incarnation that acted at a time of day has
+// certainly ended: another incarnation answers at its address, or another process of the
+// same entry was started after that time.
 func (l *Liveness) Ended(incarnation string, acted time.Time) bool {
 	l.mu.Lock()
 	replaced := l.replaced[incarnation]
@@ -143,24 +148,24 @@
 	return suspected
 }
 
-// hearsOthers reports whether most of the other entries that were pinged have
-// answered lately.
-func (l *Liveness) hearsOthers(but string, now time.Duration) bool {
+// reachesOthers reports whether most of the other entries that were pinged recently have
+// answered recently.
+func (l *Liveness) reachesOthers(but string, now time.Duration) bool {
 	pinged, answered := 0, 0
-	for incarnation, at := range l.tried {
-		if incarnation == but || l.replaced[incarnation] || now-at > heardWithin {
+	for incarnation, at := range l.lastPinged {
+		if incarnation == but || l.replaced[incarnation] || now-at > recentAnswer {
 			continue
 		}
 		pinged++
-		if now-l.heard[incarnation] < heardWithin {
+		if now-l.lastAnswered[incarnation] < recentAnswer {
 			answered++
 		}
 	}
 	return answered > 0 && 2*answered > pinged
 }
 
-// watch asks the owners of duties for signs of life.
-func (l *Liveness) watch(ctx context.Context) {
+// pingOwners pings the owners of duties and some other entries, once per pingInterval.
+func (l *Liveness) pingOwners(ctx context.Context) {
 	for ctx.Err() == nil {
 		if view := l.members.Owners.table.Load(); view != nil {
 			asked := map[string]bool{l.members.Incarnation: true}
@@ -170,16 +175,16 @@
 					l.members.Go(func() { l.ping(c) })
 				}
 			}
-			l.forget(asked)
+			l.dropSuspicions(asked)
 			for _, e := range l.nextOthers(asked) {
 				l.members.Go(func() { l.pingOther(e) })
 			}
 		}
-		jayclock.Sleep(ctx, pingPause)
+		jayclock.Sleep(ctx, pingInterval)
 	}
 }
 
-// nextOthers returns some entries in turn that are not asked already.
+// nextOthers returns some entries, in turn, that are not pinged as owners.
 func (l *Liveness) nextOthers(asked map[string]bool) []*jaywire.EntryRecord {
 	all := l.members.Entries.All()
 	slices.SortFunc(all, func(a, b *jaywire.EntryRecord) int { return strings.Compare(a.Incarnation, b.Incarnation) })
@@ -187,8 +192,8 @@
 	defer l.mu.Unlock()
 	var others []*jaywire.EntryRecord
 	for range all {
-		l.turn++
-		if e := all[l.turn%len(all)]; !asked[e.Incarnation] && !l.replaced[e.Incarnation] && len(others) < othersPinged {
+		l.nextOther++
+		if e := all[l.nextOther%len(all)]; !asked[e.Incarnation] && !l.replaced[e.Incarnation] && len(others) < othersPinged {
 			others = append(others, e)
 		}
 	}
@@ -196,14 +201,14 @@
 }
 
 func (l *Liveness) pingOther(e *jaywire.EntryRecord) {
-	l.try(e.Incarnation)
+	l.recordPing(e.Incarnation)
 	_, err := l.link.Ask(e.Incarnation, e.PeerAddr, newPing())
 	now := l.members.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		l.heard[e.Incarnation] = now
+		l.lastAnswered[e.Incarnation] = now
 	case errors.Is(err, jaypeer.ErrReplaced):
 		l.replaced[e.Incarnation] = true
 	}
@@ -213,8 +218,8 @@
 	return &jaywire.PeerRequest{Body: &jaywire.PeerRequest_Ping{Ping: &jaywire.Ping{}}}
 }
 
-// forget drops what is held against incarnations that own nothing any more.
-func (l *Liveness) forget(owners map[string]bool) {
+// dropSuspicions drops the suspicions of incarnations that own no duty any more.
+func (l *Liveness) dropSuspicions(owners map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for incarnation := range l.suspicions {
@@ -224,30 +229,31 @@
 	}
 }
 
-// try notes that an entry is pinged.
-func (l *Liveness) try(incarnation string) {
+// recordPing records that an entry is pinged now.
+func (l *Liveness) recordPing(incarnation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tried[incarnation] = l.members.Clock()
+	l.lastPinged[incarnation] = l.members.Clock()
 }
 
 func (l *Liveness) ping(c jayowner.Claim) {
-	l.try(c.Incarnation)
+	l.recordPing(c.Incarnation)
 	response, err := l.link.Ask(c.Incarnation, c.PeerAddr, newPing())
 	if err == nil {
-		l.seeClock(c.Incarnation, time.Duration(response.GetPong().GetClockMicros())*time.Microsecond)
+		l.recordClock(c.Incarnation, time.Duration(response.GetPong().GetClockMicros())*time.Microsecond)
 	}
 	l.Pinged(c.Incarnation, err)
 }
 
-// seeClock notes what another entry's clock showed a moment ago.
-func (l *Liveness) seeClock(incarnation string, clock time.Duration) {
+// recordClock records the time on another entry's clock, as received just now.
+func (l *Liveness) recordClock(incarnation string, clock time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.clocks[incarnation] = PeerClock{Clock: clock, HeardAt: l.members.Clock()}
 }
 
-// ClockOf returns the clock of an entry that owned a duty.
+// ClockOf returns the clock of an entry that has answered a ping as an owner, or this
+// entry's own clock.
 func (l *Liveness) ClockOf(incarnation string) (PeerClock, bool) {
 	if incarnation == l.members.Incarnation {
 		now := l.members.Clock()
@@ -259,13 +265,13 @@
 	return c, known
 }
 
-// Pinged takes in the outcome of a ping, or of any other request.
+// Pinged records the outcome of a ping, or of any other request to an entry.
 func (l *Liveness) Pinged(incarnation string, err error) {
 	now := l.members.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
-		l.heard[incarnation] = now
+		l.lastAnswered[incarnation] = now
 		if s, suspected := l.suspicions[incarnation]; suspected {
 			l.logger.Info("owner answers again", "owner", incarnation, "suspectedFor", (now - s.since).String())
 			delete(l.suspicions, incarnation)
--- a/jaymember/liveness_test.go
+++ b/jaymember/liveness_test.go
@@ -13,49 +13,49 @@
 	"jaythread/jayport"
 )
 
-// watched is an owner as another entry sees it.
-type watched struct {
+// pingedOwner is an owner as another entry observes it.
+type pingedOwner struct {
 	t        *testing.T
 	observer *Members
 	store    *memoryStore
 	clock    jayclock.Clock
-	// ahead is by how much the owner's clock is ahead of the observer's.
+	// ahead is the difference between the owner's clock and the observer's.
 	ahead time.Duration
 }
 
-const watchedOwner = "e2-00000000"
+const pingedIncarnation = "e2-00000000"
 
-func newWatched(t *testing.T) *watched {
+func newPingedOwner(t *testing.T) *pingedOwner {
 	t.Helper()
 	clock := jayclock.Since(time.Now().Add(-time.Hour))
 	store := newMemoryStore()
-	return &watched{t: t, observer: newTestMembers(t, "e1", store, clock), store: store, clock: clock, ahead: 7 * time.Hour}
+	return &pingedOwner{t: t, observer: newTestMembers(t, "e1", store, clock), store: store, clock: clock, ahead: 7 * time.Hour}
 }
 
-// heartbeat writes a sign of life of the owner.
-func (w *watched) heartbeat() {
+// heartbeat writes a heartbeat of the owner.
+func (w *pingedOwner) heartbeat() {
 	_, err := w.store.Append(jayport.Append{
-		Partition: w.observer.heartbeatsOf(watchedOwner),
-		Records:   []jayport.Record{{Key: watchedOwner, Value: heartbeatAt(w.clock() + w.ahead)}},
+		Partition: w.observer.heartbeatsOf(pingedIncarnation),
+		Records:   []jayport.Record{{Key: pingedIncarnation, Value: heartbeatAt(w.clock() + w.ahead)}},
 		AsOf:      jayport.AnyOffset,
 	}, jayport.CallTimeout)
 	is.New(w.t).NoErr(err)
 }
 
 // pong answers a ping of the observer.
-func (w *watched) pong() {
-	w.observer.Liveness.seeClock(watchedOwner, w.clock()+w.ahead)
-	w.observer.Liveness.Pinged(watchedOwner, nil)
+func (w *pingedOwner) pong() {
+	w.observer.Liveness.recordClock(pingedIncarnation, w.clock()+w.ahead)
+	w.observer.Liveness.Pinged(pingedIncarnation, nil)
 }
 
-// suspectedAfter fails all pings from now on and returns after how long the owner counts
-// as ended, or within if it does not.
-func (w *watched) suspectedAfter(err error, within time.Duration, each func()) time.Duration {
+// suspectedAfter fails all pings from now on and returns the time after which the owner
+// is presumed to have ended, or the limit within if it is not.
+func (w *pingedOwner) suspectedAfter(err error, within time.Duration, each func()) time.Duration {
 	l, began := w.observer.Liveness, w.clock()
-	l.Pinged(watchedOwner, err)
+	l.Pinged(pingedIncarnation, err)
 	for w.clock()-began < within {
-		l.look()
-		if l.HasEnded(watchedOwner, w.clock()) {
+		l.checkHeartbeats()
+		if l.HasEnded(pingedIncarnation, w.clock()) {
 			return w.clock() - began
 		}
 		each()
@@ -64,55 +64,55 @@
 	return within
 }
 
-func nothing() {}
+func noAction() {}
 
-func TestLostOwnerIsMissed(t *testing.T) {
+func TestLostOwnerIsDetected(t *testing.T) {
 	silent, refused := jayport.ErrNoAnswer, jaypeer.ErrGone
 	synctest.Test(t, func(t *testing.T) {
-		// Symptom: a pool has no owner for 1.2 s after its owner's machine lost power.
-		// Sequence: a ping times out after 0.35 s; only then the heartbeats are looked at, and
-		// the newest is taken for one of that moment.
-		// Cause: a heartbeat did not say when it was written.
-		w := newWatched(t)
+		// Guards against a pool without an owner for 1.2 s after its owner's machine lost
+		// power. Heartbeats did not hold the time at which they were written, so the
+		// newest one was taken for written when it was first read, after a ping had timed
+		// out (0.35 s).
+		w := newPingedOwner(t)
 		w.heartbeat()
 		w.pong()
 		time.Sleep(350 * time.Millisecond)
-		is.New(t).Equal(w.suspectedAfter(silent, time.Minute, nothing), silentTimeout-350*time.Millisecond+10*time.Millisecond)
+		is.New(t).Equal(w.suspectedAfter(silent, time.Minute, noAction), silentTimeout-350*time.Millisecond+10*time.Millisecond)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		// One whose port is closed is missed sooner.
-		w := newWatched(t)
+		// An owner whose port is closed is detected sooner.
+		w := newPingedOwner(t)
 		w.heartbeat()
 		w.pong()
-		is.New(t).Equal(w.suspectedAfter(refused, time.Minute, nothing), refusedTimeout+10*time.Millisecond)
+		is.New(t).Equal(w.suspectedAfter(refused, time.Minute, noAction), refusedTimeout+10*time.Millisecond)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		// Its clock is not known: counted from the first look.
-		w := newWatched(t)
+		// The owner's clock is unknown: the time counts from the first read.
+		w := newPingedOwner(t)
 		w.heartbeat()
 		time.Sleep(time.Second)
-		is.New(t).Equal(w.suspectedAfter(silent, time.Minute, nothing), silentTimeout+10*time.Millisecond)
+		is.New(t).Equal(w.suspectedAfter(silent, time.Minute, noAction), silentTimeout+10*time.Millisecond)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		// It has answered since its last heartbeat: it was alive then.
-		w := newWatched(t)
+		// The owner has answered a ping after its last heartbeat, so the time counts from
+		// the answer.
+		w := newPingedOwner(t)
 		w.heartbeat()
 		time.Sleep(500 * time.Millisecond)
 		w.pong()
-		is.New(t).Equal(w.suspectedAfter(silent, time.Minute, nothing), silentTimeout+10*time.Millisecond)
+		is.New(t).Equal(w.suspectedAfter(silent, time.Minute, noAction), silentTimeout+10*time.Millisecond)
 	})
 }
 
-func TestOwnerThatGivesSignsOfLifeIsKept(t *testing.T) {
+func TestOwnerWithHeartbeatsIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Symptom: an entry that is cut off from its peers takes all duties.
-		// Sequence: its pings time out; the owners write their heartbeats as ever.
-		// Cause: an owner that cannot be reached was taken for lost.
-		w := newWatched(t)
+		// Guards against an entry that takes over all duties when it is cut off from its
+		// peers: the owners did not answer its pings, but went on writing heartbeats.
+		w := newPingedOwner(t)
 		w.pong()
 		last := w.clock()
 		heartbeats := func() {
-			if w.clock()-last >= heartbeatPause {
+			if w.clock()-last >= heartbeatInterval {
 				last = w.clock()
 				w.heartbeat()
 			}
@@ -121,34 +121,31 @@
 		is.New(t).Equal(w.suspectedAfter(jayport.ErrNoAnswer, 10*time.Second, heartbeats), 10*time.Second)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		// Symptom: as the store comes back, every owner that a ping has missed is
-		// replaced.
-		// Sequence: the store is away for two seconds; nobody can write heartbeats; the store
-		// is back, and the newest heartbeats are two seconds old.
-		// Cause: heartbeats were missed that could not be written.
-		w := newWatched(t)
+		// Guards against replacing every owner that missed a ping when the store is back
+		// after an outage of two seconds. The newest heartbeats were two seconds old,
+		// because none could be written in the meantime.
+		w := newPingedOwner(t)
 		w.heartbeat()
 		w.pong()
 		w.store.setRefuse(true)
 		is := is.New(t)
-		is.Equal(w.suspectedAfter(jayport.ErrNoAnswer, 2*time.Second, nothing), 2*time.Second)
+		is.Equal(w.suspectedAfter(jayport.ErrNoAnswer, 2*time.Second, noAction), 2*time.Second)
 		w.store.setRefuse(false)
-		is.True(w.suspectedAfter(jayport.ErrNoAnswer, time.Minute, nothing) > silentTimeout)
+		is.True(w.suspectedAfter(jayport.ErrNoAnswer, time.Minute, noAction) > silentTimeout)
 	})
 }
 
-func TestOwnerThatCameBackIsGivenMoreTime(t *testing.T) {
+func TestReturningOwnerGetsLongerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Symptom: a pool changes hands every second for half a minute, and none of its
-		// tasks runs.
-		// Sequence: an owner reads much through a narrow link and does not answer pings;
-		// another one takes over, and is taken for ended in the same way.
-		// Cause: an owner that was there all the while was given no more time the next
-		// time.
+		// Guards against a pool that changes its owner every second for half a minute,
+		// while none of its tasks runs. An owner with a narrow network link did not
+		// answer pings while it read many records, was replaced, and its replacement was
+		// presumed to have ended in the same way. An owner that turns out to be alive
+		// must get a longer timeout the next time.
 		is := is.New(t)
-		w := newWatched(t)
+		w := newPingedOwner(t)
 		owners := w.observer.Owners
-		for n, incarnation := range []string{watchedOwner, "e3-00000000", watchedOwner} {
+		for n, incarnation := range []string{pingedIncarnation, "e3-00000000", pingedIncarnation} {
 			record := jayowner.Claim{Duty: jayowner.Fleet, Incarnation: incarnation, Term: int64(n + 1)}.Record()
 			record.Offset = int64(n)
 			owners.Apply(record)
@@ -156,16 +153,16 @@
 		w.heartbeat()
 		w.pong()
 		l, lost := w.observer.Liveness, w.clock()
-		l.Pinged(watchedOwner, jayport.ErrNoAnswer)
+		l.Pinged(pingedIncarnation, jayport.ErrNoAnswer)
 		missed := func() bool {
-			l.look()
-			return l.hasEndedBy(watchedOwner, owners.timeoutFactorOf(jayowner.Fleet, w.clock()), w.clock())
+			l.checkHeartbeats()
+			return l.hasEndedWithin(pingedIncarnation, owners.timeoutFactorOf(jayowner.Fleet, w.clock()), w.clock())
 		}
 		for !missed() {
 			time.Sleep(10 * time.Millisecond)
 		}
 		is.Equal(w.clock()-lost, 2*silentTimeout+10*time.Millisecond)
-		l.Pinged(watchedOwner, jaypeer.ErrGone)
-		is.True(missed()) // a closed port needs no longer timeout
+		l.Pinged(pingedIncarnation, jaypeer.ErrGone)
+		is.True(missed()) // the timeout for a closed port stays
 	})
 }
--- a/jaymember/members.go
+++ b/jaymember/members.go
@@ -1,6 +1,6 @@
-// Package jaymember keeps an entry's membership: it follows which entries run, which of
-// them owns which duty and whether the owners are alive, and claims duties that are
-// vacant.
+// Package jaymember manages the membership of an entry: it tracks which entries run,
+// which of them owns which duty and whether the owners are alive, and claims vacant
+// duties.
 package jaymember
 
 import (
@@ -16,26 +16,27 @@
 	"jaythread/jaytail"
 )
 
-// The topics of membership on the platform's store.
+// Topics of the membership in the platform's store.
 const (
 	// topicOwners holds the claims of duties.
 	topicOwners = "owners"
-	// topicEntries holds the running entries.
+	// topicEntries holds the announcements of the entries.
 	topicEntries = "entries"
-	// topicHeartbeats holds signs of life of the entries that own a duty.
+	// topicHeartbeats holds the heartbeats of the entries that own a duty.
 	topicHeartbeats = "beats"
 )
 
 const (
-	// ClaimsWait is for how long a read of the claims may wait. A change ends the wait
-	// at once; a connection that went silent is found out after it.
+	// ClaimsWait is how long a read of the claims waits for a new record. A record ends
+	// the wait at once; a connection that no longer answers is noticed only when the wait
+	// is over.
 	ClaimsWait = time.Second
-	// entriesWait is the same for the entries: one that joins is known at once, so that
-	// duties are spread over all from the start.
+	// entriesWait is the same wait for the announcements. A new entry is known at once,
+	// so that duties are spread over all entries from the start.
 	entriesWait = 3 * time.Second
 )
 
-// Options are what membership needs to know of this entry, and what it uses.
+// Options configures a membership.
 type Options struct {
 	Entry       string
 	Incarnation string
@@ -44,7 +45,7 @@
 	// ProcessorsMilli and LinkMegabits are the entry's share of its machine.
 	ProcessorsMilli int64
 	LinkMegabits    int64
-	// Started is when the entry was started, StartedAt the same on its clock.
+	// Started is when the entry was started, and StartedAt is the same moment on Clock.
 	Started   time.Time
 	StartedAt time.Duration
 
@@ -53,21 +54,21 @@
 	Formats jayport.Formats
 	Logger  logr.Logger
 
-	// Partition returns the number of the partition for what is kept under a key.
+	// Partition returns the number of the partition that holds the records of a key.
 	Partition func(key string) int
-	// Duties returns those that should have an owner now.
+	// Duties returns the duties that should have an owner now.
 	Duties func() []jayowner.Duty
-	// Owns reports whether this entry carries out a duty.
+	// Owns reports whether this entry owns any duty.
 	Owns func() bool
-	// Stopping reports whether this entry claims nothing any more.
+	// Stopping reports whether this entry is stopping and claims no more duties.
 	Stopping func() bool
-	// ClaimsRead is called when the claims were read anew.
+	// ClaimsRead is called after each read of the claims.
 	ClaimsRead func()
-	// Go runs a function in a goroutine for whose end the entry waits.
+	// Go runs a function in a goroutine that the entry waits for when it stops.
 	Go func(func())
 }
 
-// Members are the entries and owners as this entry knows them.
+// Members is the membership of an entry: the entries and owners that it knows.
 type Members struct {
 	Options
 
@@ -76,7 +77,7 @@
 	Liveness *Liveness
 }
 
-// New returns a membership that is not started.
+// New returns a membership; Start starts it.
 func New(options Options) *Members {
 	m := &Members{Options: options}
 	m.Entries = newEntries(m)
@@ -85,10 +86,10 @@
 	return m
 }
 
-// Start begins to follow entries and claims, tells the others that this entry runs, and
-// claims vacant duties, until the context ends.
+// Start follows entries and claims, announces this entry, monitors the owners and claims
+// vacant duties until the context ends.
 func (m *Members) Start(ctx context.Context) {
-	// The claims' handler asks its tail how far it has read, so it must know it before
+	// The handler of the claims asks the tail for its offset, so tail must be set before
 	// the tail runs.
 	m.Owners.tail = m.newTail(topicOwners, ClaimsWait, m.Owners)
 	m.Go(func() { m.Owners.tail.Run(ctx) })
--- a/jaymember/owners.go
+++ b/jaymember/owners.go
@@ -12,29 +12,31 @@
 	"jaythread/jaytail"
 )
 
-// Owners follows the claims of duties; claims.go claims vacant ones.
+// Owners holds the claims of duties. It is the handler of the tail that reads them;
+// claims.go claims vacant duties.
 type Owners struct {
 	members *Members
 	logger  logr.Logger
 	tail    *jaytail.Tail
 
-	// table is a copy of the newest claims.
+	// table is an immutable view of the newest claims, working the table that records are
+	// applied to.
 	table   atomic.Pointer[View]
 	working *jayowner.Table
 
-	// vacantSince is since when this entry has seen a duty without owner. Only
-	// the goroutine that claims uses it.
+	// vacantSince is the time since which this entry has seen each duty without an owner.
+	// It is used only by the goroutine that claims duties.
 	vacantSince map[jayowner.Duty]time.Duration
 
 	mu sync.Mutex
-	// turnover is how often the duties changed hands lately.
+	// turnover tracks the recent owners of each duty.
 	turnover *jayowner.Turnover
 }
 
 // View is the claims as of a time.
 type View struct {
 	*jayowner.Table
-	// AsOf is when they were read.
+	// AsOf is the time up to which the claims have been read.
 	AsOf time.Duration
 	// next is the offset after the last claim.
 	next int64
@@ -50,15 +52,15 @@
 	}
 }
 
-// Reset begins a load.
+// Reset discards the claims before a reload.
 func (o *Owners) Reset() {
 	o.working.Reset()
 }
 
-// Apply takes in a claim.
+// Apply applies a claim.
 func (o *Owners) Apply(r jayport.Record) {
 	if err := o.working.Apply(r); err != nil {
-		o.logger.Error(err, "claim unreadable", "duty", r.Key)
+		o.logger.Error(err, "claim cannot be decoded", "duty", r.Key)
 		return
 	}
 	if c, ok := o.working.Claim(jayowner.Duty(r.Key)); ok {
@@ -69,36 +71,37 @@
 	}
 }
 
-// timeoutFactorOf is how many times as long as usual the owner of a duty may be silent.
+// timeoutFactorOf returns the factor by which the owner of a duty may be silent for
+// longer than usual.
 func (o *Owners) timeoutFactorOf(d jayowner.Duty, now time.Duration) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.turnover.TimeoutFactor(d, now)
 }
 
-// CaughtUp publishes the claims and begins or ends this entry's duties.
+// CaughtUp publishes the claims and then calls ClaimsRead.
 func (o *Owners) CaughtUp(asOf time.Duration) {
 	o.Publish(&View{Table: o.working.Clone(), next: o.tail.Next(), AsOf: asOf})
 	o.members.ClaimsRead()
 }
 
-// Publish puts claims in the place of those that were read before.
+// Publish replaces the current view.
 func (o *Owners) Publish(view *View) {
 	o.table.Store(view)
 }
 
-// View returns the newest claims, or nil before they were read at all.
+// View returns the newest view, or nil if the claims have not been read yet.
 func (o *Owners) View() *View {
 	return o.table.Load()
 }
 
-// Known reports whether the claims were read at all.
+// Known reports whether the claims have been read.
 func (o *Owners) Known() bool {
 	return o.table.Load() != nil
 }
 
-// Of returns the owner of a duty, if it has one. One that gives the duty up
-// still answers for it.
+// Of returns the newest claim of a duty, if there is one. The owner still serves a duty
+// that it has released until the next claim.
 func (o *Owners) Of(d jayowner.Duty) (jayowner.Claim, bool) {
 	view := o.table.Load()
 	if view == nil {
