--- a/jayowner/assign.go
+++ b/jayowner/assign.go
@@ -8,22 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is an entry that can carry out duties.
+// Candidate is an entry that can own duties.
 type Candidate struct {
 	Incarnation string
-	// Strength is the entry's share of processors and link; duties go to the
-	// strong first.
+	// Strength is the capacity of the entry, such as its share of the machine's
+	// processors. Stronger entries get duties first.
 	Strength int64
-	// Started is when the entry was started, in milliseconds of its own time
-	// of day.
+	// Started is when the entry was started, in milliseconds of its own time of day.
 	Started int64
 }
 
-// Rankings returns for each vacant duty the candidates in the order in which
-// they should claim it. All entries come to the same rankings from the same
-// table. Duties are spread: one goes to the candidate with the fewest, measured
-// against its strength, and among equals to the one that was started last: when
-// all entries are restarted in turn, it has been already.
+// Rankings returns for each vacant duty the candidates in the order in which they should
+// claim it. All entries compute the same rankings from the same claims. Duties are
+// spread: a duty goes to the candidate with the fewest duties in relation to its
+// strength, and among equals to the one that was started last: while all entries are
+// restarted in turn, that one has already been restarted and keeps the duty.
 func Rankings(vacant []Duty, held map[string]int, candidates []Candidate) map[Duty][]string {
 	load := make(map[string]int, len(candidates))
 	for id, n := range held {
@@ -36,9 +35,9 @@
 		ranked := slices.Clone(candidates)
 		slices.SortFunc(ranked, func(a, b Candidate) int {
 			return cmp.Or(
-				// (load+1)/strength, without fractions.
+				// Compares (load+1)/strength without division.
 				cmp.Compare(int64(load[a.Incarnation]+1)*max(1, b.Strength), int64(load[b.Incarnation]+1)*max(1, a.Strength)),
-				cmp.Compare(b.Started/startedGrain, a.Started/startedGrain),
+				cmp.Compare(b.Started/startTimeResolution, a.Started/startTimeResolution),
 				cmp.Compare(score(d, a.Incarnation), score(d, b.Incarnation)),
 				strings.Compare(a.Incarnation, b.Incarnation),
 			)
@@ -55,8 +54,8 @@
 	return rankings
 }
 
-// Share returns the duties that fall to one candidate if nobody holds any. All
-// who know the same candidates come to shares that do not overlap.
+// Share returns the duties that are assigned to one candidate if nobody owns any. The
+// shares of all candidates are disjoint if they are computed from the same candidates.
 func Share(duties []Duty, candidates []Candidate, own string) []Duty {
 	var share []Duty
 	for d, ranked := range Rankings(duties, nil, candidates) {
@@ -68,9 +67,9 @@
 	return share
 }
 
-// startedGrain makes entries equals that were started together, in
-// milliseconds.
-const startedGrain = 1000
+// startTimeResolution is the resolution, in milliseconds, at which start times are
+// compared, so that entries that are started together are equal.
+const startTimeResolution = 1000
 
 func score(d Duty, incarnation string) uint64 {
 	return xxhash.Sum64String(string(d) + "\x00" + incarnation)
--- a/jayowner/owner_test.go
+++ b/jayowner/owner_test.go
@@ -22,25 +22,25 @@
 	is.NoErr(table.Apply(at(Claim{Duty: Fleet, Incarnation: "a", Term: 1}, 0)))
 	is.NoErr(table.Apply(at(Claim{Duty: PoolDuty("seats"), Incarnation: "a", Term: 1}, 1)))
 	is.NoErr(table.Apply(at(Claim{Duty: Fleet, Incarnation: "b", Term: 2}, 2)))
-	is.NoErr(table.Apply(at(Claim{Duty: Fleet, Incarnation: "a", Term: 1}, 0))) // read again
+	is.NoErr(table.Apply(at(Claim{Duty: Fleet, Incarnation: "a", Term: 1}, 0))) // duplicate
 	c, ok := table.Claim(Fleet)
 	is.True(ok)
 	is.Equal(c.Incarnation, "b")
-	is.Equal(c.Fence, int64(3)) // above all before it
+	is.Equal(c.Fence, int64(3)) // higher than all earlier fences
 	is.Equal(table.End(), int64(3))
 	is.Equal(len(table.Claims()), 2)
 	is.NoErr(table.Apply(at(Claim{Duty: Fleet, Incarnation: "b", Term: 2, Released: true}, 3)))
 	c, _ = table.Claim(Fleet)
 	is.True(c.Released)
-	is.Equal(c.Fence, int64(3)) // the owner goes on under its fence
+	is.Equal(c.Fence, int64(3)) // the owner keeps its fence until the next claim
 	is.NoErr(table.Apply(at(Claim{Duty: Fleet, Incarnation: "a", Term: 1, Released: true}, 4)))
 	c, _ = table.Claim(Fleet)
-	is.Equal(c.Incarnation, "b") // a release that comes late
+	is.Equal(c.Incarnation, "b") // a late release of a former owner is ignored
 	is.NoErr(table.Apply(at(Claim{Duty: Fleet, Incarnation: "c", Term: 3}, 5)))
 	is.NoErr(table.Apply(at(Claim{Duty: Fleet, Incarnation: "b", Term: 2, Released: true}, 6)))
 	c, _ = table.Claim(Fleet)
 	is.Equal(c.Incarnation, "c")
-	is.True(!c.Released) // what the former owner gives up is not the next one's
+	is.True(!c.Released) // a former owner's release does not affect the new owner
 	is.True(table.Apply(jayport.Record{Key: "fleet", Value: []byte{0xff}, Offset: 9}) != nil)
 	clone := table.Clone()
 	table.Reset()
@@ -57,10 +57,10 @@
 }
 
 func TestShares(t *testing.T) {
-	// Symptom: after the loss of all entries no pool is served for a second.
-	// Sequence: all entries come back at once; each waits until the others are
-	// announced, since the first one would take all duties.
-	// Cause: duties were given by who is back, not by who there was.
+	// Guards against pools that are not served for a second after the loss of all
+	// entries. The entries came back at once, and each waited until the others were
+	// announced, since the first one would have taken all duties. Shares are computed
+	// from the known names of entries instead of the running ones.
 	is := is.New(t)
 	names := []Candidate{{Incarnation: "a", Strength: 800}, {Incarnation: "b", Strength: 800}, {Incarnation: "c", Strength: 800}, {Incarnation: "weak", Strength: 192}}
 	duties := []Duty{Fleet, PoolDuty("seats"), PoolDuty("fees"), PoolDuty("registry"), PoolDuty("catalogue")}
--- a/jayowner/table.go
+++ b/jayowner/table.go
@@ -1,8 +1,7 @@
-// Package jayowner decides which entry carries out which duty. A duty is
-// claimed by a record; its offset is the claim's fence, which rises with each
-// claim. Ownership is an economy: what protects a duty's effects are the
-// fences, so that two entries that both take themselves for the owner do no
-// harm.
+// Package jayowner determines which entry owns which duty. A duty is claimed by a record,
+// and the record's offset determines the claim's fence, which rises with each claim.
+// Ownership only saves duplicate work: the effects of a duty are protected by its fences,
+// so that two entries that both assume that they own a duty do no harm.
 package jayowner
 
 import (
@@ -15,20 +14,21 @@
 	"jaythread/jaywire"
 )
 
-// Duty names what one entry at a time does for all.
+// Duty is the name of a responsibility that one entry at a time has for all entries.
 type Duty string
 
 const poolPrefix = "pool/"
 
-// Fleet is the duty that moves and maintains instances.
+// Fleet is the duty to move and maintain instances.
 const Fleet Duty = "fleet"
 
-// PoolDuty returns the duty that runs the tasks of a pool.
+// PoolDuty returns the duty to run the tasks of a pool.
 func PoolDuty(pool string) Duty {
 	return Duty(poolPrefix + pool)
 }
 
-// Pool returns the pool of a pool's duty.
+// Pool returns the pool whose tasks the duty runs, or false if it is not the duty of a
+// pool.
 func (d Duty) Pool() (string, bool) {
 	return strings.CutPrefix(string(d), poolPrefix)
 }
@@ -41,17 +41,17 @@
 	Incarnation string
 	Entry       string
 	PeerAddr    string
-	// Released says that the owner gives the duty up: it carries it out until
-	// the next claim.
+	// Released is set if the owner has released the duty. The owner still performs the
+	// duty until the next claim.
 	Released bool
-	// offset is that of the newest record.
+	// offset is the offset of the duty's newest record.
 	offset int64
 }
 
 // Table holds the newest claim of each duty.
 type Table struct {
 	claims map[Duty]Claim
-	// end is the offset after the last record that was applied.
+	// end is the offset after the last applied record.
 	end int64
 }
 
@@ -60,7 +60,8 @@
 	return &Table{claims: map[Duty]Claim{}}
 }
 
-// Apply takes in a record. A record that cannot be read is no claim.
+// Apply applies a claim, a release or the removal of a claim. It returns an error for a
+// record that cannot be decoded and leaves the claims unchanged.
 func (t *Table) Apply(r jayport.Record) error {
 	t.end = max(t.end, r.Offset+1)
 	duty := Duty(r.Key)
@@ -99,24 +100,24 @@
 	return nil
 }
 
-// FenceOf returns the fence of the claim at an offset; it is above zero, which
-// workers take for no fence at all.
+// FenceOf returns the fence of the claim at an offset. It is never zero, because workers
+// treat a zero fence as no fence.
 func FenceOf(offset int64) int64 {
 	return offset + 1
 }
 
-// End returns the offset after the last record that was applied.
+// End returns the offset after the last applied record.
 func (t *Table) End() int64 {
 	return t.end
 }
 
-// Claim returns the newest claim of a duty.
+// Claim returns the newest claim of a duty, if there is one.
 func (t *Table) Claim(d Duty) (Claim, bool) {
 	c, ok := t.claims[d]
 	return c, ok
 }
 
-// Claims returns all claims in the order of their duties.
+// Claims returns all claims, sorted by duty.
 func (t *Table) Claims() []Claim {
 	claims := make([]Claim, 0, len(t.claims))
 	for _, c := range t.claims {
@@ -126,7 +127,7 @@
 	return claims
 }
 
-// Clone returns a copy.
+// Clone returns a copy of the table.
 func (t *Table) Clone() *Table {
 	clone := NewTable()
 	clone.end = t.end
@@ -136,12 +137,12 @@
 	return clone
 }
 
-// Reset forgets all claims.
+// Reset removes all claims.
 func (t *Table) Reset() {
 	clear(t.claims)
 }
 
-// Record returns the record of a claim, or of its release.
+// Record returns the record of a claim, or of its release if Released is set.
 func (c Claim) Record() jayport.Record {
 	value, err := proto.Marshal(&jaywire.OwnerClaim{
 		Incarnation: c.Incarnation,
@@ -151,7 +152,7 @@
 		Released:    c.Released,
 	})
 	if err != nil {
-		// A message of plain fields always can be written.
+		// Encoding a message of plain fields cannot fail.
 		panic("encode claim: " + err.Error())
 	}
 	return jayport.Record{Key: string(c.Duty), Value: value}
--- a/jayowner/turnover.go
+++ b/jayowner/turnover.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// turnoverWindow is for how long a change of a duty's owner counts.
+	// turnoverWindow is how long a change of a duty's owner is counted.
 	turnoverWindow = 15 * time.Second
-	// turnoverFree is how many changes in that time are no sign of mistakes: entries are
-	// restarted in turn.
-	turnoverFree = 3
-	// mostTimeoutFactor bounds how many times as long an owner may be silent.
-	mostTimeoutFactor = 16
+	// allowedTurnovers is the number of changes within turnoverWindow that do not count
+	// as mistakes, since entries may be restarted in turn.
+	allowedTurnovers = 3
+	// maxTimeoutFactor limits the factor by which an owner may be silent for longer than
+	// usual.
+	maxTimeoutFactor = 16
 )
 
-// Turnover remembers who has claimed each duty lately.
+// Turnover tracks the recent claims of each duty.
 type Turnover struct {
 	claims map[Duty][]pastClaim
 }
@@ -26,13 +27,13 @@
 	at          time.Duration
 }
 
-// NewTurnover returns a turnover without claims.
+// NewTurnover returns an empty turnover.
 func NewTurnover() *Turnover {
 	return &Turnover{claims: map[Duty][]pastClaim{}}
 }
 
-// Claimed takes in a claim that was read at a time. One that was read before, and the
-// release of a duty, change nothing.
+// Claimed adds a claim that was read at a given time. Claims that were added before and
+// releases are ignored.
 func (t *Turnover) Claimed(c Claim, now time.Duration) {
 	past := slices.DeleteFunc(t.claims[c.Duty], func(p pastClaim) bool { return p.at < now-turnoverWindow })
 	known := slices.ContainsFunc(past, func(p pastClaim) bool { return p.fence >= c.Fence })
@@ -42,15 +43,15 @@
 	t.claims[c.Duty] = past
 }
 
-// TimeoutFactor is how many times as long as usual the owner of a duty may be silent before it
-// counts as ended.
+// TimeoutFactor returns the factor by which the owner of a duty may be silent for longer
+// than usual before it is presumed to have ended.
 //
-// The load that it answers: an owner behind a narrow link reads the jobs that it takes
-// over, and for a second or two nothing else comes through. Another entry takes it for
-// ended and takes over in turn, and is silent for the same reason: the duty changes hands
-// for as long as there is much to read, and nobody carries it out. One sees it by owners
-// that come back: a process that had ended could not. Each mistake doubles the time, so
-// that in the end one owner gets to read it all.
+// An owner with a narrow network link reads the jobs of the pool that it takes over, and
+// for a second or two nothing else gets through. Another entry presumes that it has
+// ended, takes over and becomes silent for the same reason. The duty then changes its
+// owner for as long as there is much to read, and nobody performs it. Such mistakes show
+// by owners that come back, since a process that had ended could not. Each mistake
+// doubles the factor, so that one owner finally has the time to read everything.
 func (t *Turnover) TimeoutFactor(d Duty, now time.Duration) int {
 	factor := 1
 	var owners []string
@@ -58,9 +59,9 @@
 		if p.at < now-turnoverWindow {
 			continue
 		}
-		mistaken := len(owners) >= turnoverFree || slices.Contains(owners, p.incarnation)
+		mistaken := len(owners) >= allowedTurnovers || slices.Contains(owners, p.incarnation)
 		if mistaken {
-			factor = min(2*factor, mostTimeoutFactor)
+			factor = min(2*factor, maxTimeoutFactor)
 		}
 		owners = append(owners, p.incarnation)
 	}
--- a/jayowner/turnover_test.go
+++ b/jayowner/turnover_test.go
@@ -45,14 +45,13 @@
 	})
 }
 
-func TestADutyIsTakenOverInTheEnd(t *testing.T) {
-	// Symptom: the tasks of a pool end with their leases and none starts any more,
-	// though all entries are well.
-	// Sequence: all entries lose power; an owner takes the pool over and reads 170 jobs
-	// through a narrow link; its answers to pings are late; another entry claims the
-	// pool before it has read them all, and so on, every second.
-	// Cause: an owner that was taken for ended by mistake was given no more time the
-	// next time.
+func TestTimeoutFactorEndsRepeatedTakeovers(t *testing.T) {
+	// Guards against a pool whose tasks end with their leases while no new ones start,
+	// although all entries are healthy. After a power loss of all entries, an owner took
+	// the pool over and read 170 jobs through a narrow network link, so that its answers
+	// to pings were late. Every second another entry claimed the pool before the owner
+	// had read the jobs, since an owner that was wrongly presumed to have ended got no
+	// longer timeout the next time.
 	const wait = 650 * time.Millisecond
 	for _, reads := range []time.Duration{700 * time.Millisecond, 1700 * time.Millisecond, 5 * time.Second} {
 		for _, entries := range []int{2, 97} {
