--- a/jaynode/duties.go
+++ b/jaynode/duties.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// dropPool removes a pool's duty that has ended by itself.
+// removePool removes a pool's duty that has ended by itself.
 func (n *Node) removePool(duty *poolDuty) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// dropFleet removes the fleet's duty after it has ended by itself.
+// removeFleet removes the fleet's duty after it has ended by itself.
 func (n *Node) removeFleet(duty *fleetDuty) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -136,7 +136,7 @@
 	return err == nil || !stored.GetStoreAway(), err
 }
 
-// errSuspected is returned for a request to an owner that no longer answers pings.
+// errOwnerSuspected is returned for a request to an owner that no longer answers pings.
 var errOwnerSuspected = fmt.Errorf("%w: the owner of the pool does not answer pings", jayport.ErrNoAnswer)
 
 // suspectPollInterval is the time between two checks whether the owner that a request was
--- a/jaynode/stored_test.go
+++ b/jaynode/stored_test.go
@@ -135,8 +135,8 @@
 	is.True(len(r.unreadable) <= maxUnreadable)
 }
 
-// Guards against going back to a former incarnation of a worker: a reload and the reads
-// after it can return the same records twice.
+// TestOlderReportsAreIgnored guards against going back to a former incarnation of a
+// worker: a reload and the reads after it can return the same records twice.
 func TestOlderReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	n := New(Settings{Entry: "e1"}, Ports{Formats: reportFormats{}}, logr.Discard())
