--- a/jayport/doc.go
+++ b/jayport/doc.go
@@ -1,5 +1,5 @@
-// Package jayport holds the ports of the job service: what it asks of the
-// platform's store, of workers, of the fleet's inventory and of the placement
-// advisor. The types are the project's own; an adapter translates them into a
-// platform's names, formats and calls.
+// Package jayport defines the ports of the job service: the interfaces to the platform's
+// store, the workers, the fleet's inventory and the placement advisor. The types do not
+// depend on a platform; an adapter translates them into a platform's names, formats and
+// requests.
 package jayport
--- a/jayport/formats.go
+++ b/jayport/formats.go
@@ -6,7 +6,7 @@
 	"jaythread/jaycatalog"
 )
 
-// Declared is what an operator's record says: CatalogDeclared, WaveDeclared or
+// Declared is the decoded content of an operator's record: CatalogDeclared, WaveDeclared or
 // NothingDeclared.
 type Declared interface {
 	isDeclared()
@@ -17,43 +17,47 @@
 	Catalog *jaycatalog.Catalog
 }
 
-// WaveDeclared asks for a maintenance wave.
+// WaveDeclared declares a maintenance wave.
 type WaveDeclared struct {
 	Wave Wave
 }
 
-// NothingDeclared is a record that is no matter of this program.
+// NothingDeclared is a record that this program ignores.
 type NothingDeclared struct{}
 
 func (CatalogDeclared) isDeclared() {}
 func (WaveDeclared) isDeclared()    {}
 func (NothingDeclared) isDeclared() {}
 
-// Wave asks that each of some hosts is maintained.
+// Wave is a declared maintenance wave: each of its hosts is to be maintained.
 type Wave struct {
 	Name  string
 	Hosts []string
-	// Within is the time for all of them, from the declaration on.
+	// Within is the time in which all hosts are to be maintained, counted from the
+	// declaration.
 	Within time.Duration
-	// MaxAtOnce bounds the hosts that are down for the wave at one time.
+	// MaxAtOnce is the maximum number of hosts that may be down for the wave at the same
+	// time.
 	MaxAtOnce int
 }
 
-// Formats translates the records that the platform and its operators keep in
-// the store.
+// Formats decodes and encodes the records that the platform and its operators keep in the
+// store.
 type Formats interface {
-	// Declarations is where operators' records are; each is read by Declared.
+	// Declarations returns the partition of the operators' records, which Declared
+	// decodes.
 	Declarations() Partition
 	Declared(r Record) (Declared, error)
-	// Reports is where workers announce themselves; each record is read by
-	// Reported. A key without value is a worker that has left.
+	// Reports returns the partition of the workers' heartbeats, which Reported decodes.
+	// A record without a value means that the worker with this key has left.
 	Reports() Partition
 	Reported(r Record) (Worker, error)
-	// WaveStatus is the record by which operators learn whether a wave is
-	// done.
+	// WaveStatus returns the record that tells operators whether a wave is done, and
+	// the partition that it belongs to.
 	WaveStatus(wave string, done bool) (Partition, Record)
-	// Own is the partition of a topic of this program's own.
+	// Own returns a partition of a topic that belongs to this program.
 	Own(topic string, number int) Partition
-	// OwnPartitions is how many partitions a topic of its own may have.
+	// OwnPartitions returns the number of partitions that a topic of this program may
+	// have.
 	OwnPartitions() int
 }
--- a/jayport/inventory.go
+++ b/jayport/inventory.go
@@ -7,12 +7,12 @@
 	"jaythread/jaypool"
 )
 
-// HostState is what the inventory says of an instance.
+// HostState is the state of a host in the inventory.
 type HostState uint8
 
-// The states of the inventory.
+// The states of hosts.
 const (
-	// HostUnknown is a state that this program does not know.
+	// HostUnknown stands for any state that this program does not know.
 	HostUnknown HostState = iota
 	HostUp
 	HostMoving
@@ -30,8 +30,8 @@
 	return hostStateNames[HostUnknown]
 }
 
-// Host is an instance in the inventory. It outlives the workers that are its
-// lives.
+// Host is a machine in the inventory. It outlives the workers that run on it one after
+// another.
 type Host struct {
 	Name       string
 	Pool       string
@@ -40,40 +40,42 @@
 	Rack       string
 	Labels     []string
 	Capacity   jaypool.Resources
-	// Worker is the ID of its present incarnation, or empty.
+	// Worker is the ID of the worker that runs on the host, or empty if there is none.
 	Worker string
-	// Unreadable says that the inventory's row could not be read: at most the name
-	// is known.
+	// Unreadable is set if the inventory's row could not be decoded. At most the name is
+	// known then.
 	Unreadable bool
 }
 
-// Complete reports whether all rows of a list could be read. What another list
-// does not name may stand in a row that could not.
+// Complete reports whether all rows of the inventory could be decoded. If not, a host that
+// is missing from the list may be in one of the unreadable rows.
 func Complete(hosts []Host) bool {
 	return !slices.ContainsFunc(hosts, func(h Host) bool { return h.Unreadable })
 }
 
-// Lease identifies the holder of the right to act on hosts.
+// Lease is the proof of the right to send commands for hosts: its holder and the fence of
+// the lease.
 type Lease struct {
 	Holder string
 	Fence  int64
 }
 
-// HostReason says why the inventory refused a command. A refused act has no
-// effect.
+// HostReason is the reason for which the inventory refused a command. A refused command has
+// no effect.
 type HostReason uint8
 
-// The reasons of the inventory's refusals.
+// The reasons for which the inventory refuses commands.
 const (
-	// HostRefusedUnknown is a reason that this program does not know.
+	// HostRefusedUnknown stands for any reason that this program does not know.
 	HostRefusedUnknown HostReason = iota
-	// HostFenced means that a higher fence has acted on the host.
+	// HostFenced means that a command with a higher fence was carried out on the host.
 	HostFenced
-	// HostBusy means that the host is not up, or leaving.
+	// HostBusy means that the host is not up, or is leaving.
 	HostBusy
 	// HostNotInWave means that the wave does not name the host.
 	HostNotInWave
-	// HostMalformed means that host or pool do not exist or do not fit.
+	// HostMalformed means that the host or the pool does not exist, or that they do not
+	// fit each other.
 	HostMalformed
 )
 
@@ -87,12 +89,12 @@
 	return hostReasonNames[HostRefusedUnknown]
 }
 
-// HostError is the inventory's refusal.
+// HostError is returned for a command that the inventory refused.
 type HostError struct {
 	Reason HostReason
 }
 
-// Error names the reason.
+// Error returns a message with the reason.
 func (e *HostError) Error() string {
 	return "inventory refused: " + e.Reason.String()
 }
@@ -101,8 +103,9 @@
 // errors are ErrNoAnswer, ErrNotDone and *HostError.
 type Inventory interface {
 	Hosts(timeout time.Duration) ([]Host, error)
-	// Move ends all runs on a host at once and brings it up in another pool.
+	// Move ends all runs on a host immediately and moves it to another pool.
 	Move(host, pool string, lease Lease, timeout time.Duration) error
-	// Maintain ends all runs on a host at once and maintains it for a wave.
+	// Maintain ends all runs on a host immediately and starts its maintenance for a
+	// wave.
 	Maintain(host, wave string, lease Lease, timeout time.Duration) error
 }
--- a/jayport/workers.go
+++ b/jayport/workers.go
@@ -8,41 +8,43 @@
 	"jaythread/jaypool"
 )
 
-// Incarnation tells the starts of a worker's process under one ID apart: it is the Unix
-// millisecond of the start. Incarnations are compared for equality only, since the time of
-// day may have been stepped back between two starts. It is zero where the worker does not
-// tell it.
+// Incarnation identifies a process among those that a worker has run under one ID. It is the
+// time of the process's start in Unix milliseconds, or zero if the worker does not report
+// it. Incarnations are compared for equality only, since the system clock may have been set
+// back between two starts.
 type Incarnation int64
 
-// Worker is an instance that runs tasks, for one incarnation of its process.
+// Worker is one incarnation of an instance that runs tasks, as its latest heartbeat
+// describes it.
 type Worker struct {
-	// ID and Incarnation name this incarnation.
+	// ID and Incarnation identify the incarnation.
 	ID          string
 	Incarnation Incarnation
 	Addr        string
 	Pool        string
 	DataCenter  string
 	Rack        string
-	// Labels are what steps may require, the rack among them.
+	// Labels holds the labels that steps may require, including that of the rack.
 	Labels   []string
 	Capacity jaypool.Resources
 	Draining bool
-	// DrainLeft is the least time before a draining worker leaves.
+	// DrainLeft is the minimum time before a draining worker leaves.
 	DrainLeft time.Duration
-	// Warming is for how much longer the worker is slow after its start.
+	// Warming is the remaining time for which the worker is slow after its start.
 	Warming time.Duration
-	// Clock is the worker's steady clock when it reported itself.
+	// Clock is the worker's monotonic clock at the time of the heartbeat.
 	Clock time.Duration
 }
 
-// WorkerRef identifies one incarnation of a worker's process and where it listens.
+// WorkerRef identifies one incarnation of a worker and holds the address at which it
+// listens.
 type WorkerRef struct {
 	ID          string
 	Incarnation Incarnation
 	Addr        string
 }
 
-// TaskID names a task: the job, the occurrence, the step and its index.
+// TaskID identifies a task by its job, the occurrence, the step and the index in the step.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -50,19 +52,19 @@
 	Index      int
 }
 
-// String returns the name of the task.
+// String returns the task's name in the form JOB.OCCURRENCE.STEP.INDEX.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// StepID names a step of one occurrence of a job.
+// StepID identifies a step of one occurrence of a job.
 type StepID struct {
 	Job        string
 	Occurrence int
 	Step       int
 }
 
-// String returns the name of the step.
+// String returns the step's name in the form JOB.OCCURRENCE.STEP.
 func (s StepID) String() string {
 	return fmt.Sprintf("%s.%d.%d", s.Job, s.Occurrence, s.Step)
 }
@@ -72,69 +74,72 @@
 	return StepID{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step}
 }
 
-// RunRef names one run of a task.
+// RunRef identifies one run of a task.
 type RunRef struct {
 	Task TaskID
-	// Number rises with each start of the task; it begins at 1.
+	// Number starts at 1 and increases with each start of the task.
 	Number int64
 }
 
-// String returns task and run.
+// String returns the name of the task and the number of the run.
 func (r RunRef) String() string {
 	return fmt.Sprintf("%s run %d", r.Task, r.Number)
 }
 
-// StartOrder tells a worker to start a run.
+// StartOrder orders a worker to start a run.
 type StartOrder struct {
 	Run   RunRef
 	Spec  string
 	Fence int64
-	// LeaseUntil is on the worker's clock and holds for all its runs.
+	// LeaseUntil is the end of the lease on the worker's clock. The lease covers all runs
+	// on the worker.
 	LeaseUntil time.Duration
-	// Checkpoint is where the run resumes; empty starts from the beginning.
+	// Checkpoint is the checkpoint from which the run resumes. If it is empty, the run
+	// starts from the beginning.
 	Checkpoint string
-	// Ticket is the advisor's leave, where the queue has an advisor.
+	// Ticket is the advisor's permission, if the queue uses the advisor.
 	Ticket string
 }
 
 // LeaseOrder renews the lease of all runs on a worker and asks for a report.
 type LeaseOrder struct {
 	Fence int64
-	// LeaseUntil is on the worker's clock; zero only asks.
+	// LeaseUntil is the new end of the lease on the worker's clock. If it is zero, the
+	// order only asks for a report.
 	LeaseUntil time.Duration
-	// Acknowledged is the last end that the worker may forget.
+	// Acknowledged is the number of the last ended run that the worker may forget.
 	Acknowledged int64
-	// Wait is for how long the answer may wait for an end.
+	// Wait is how long the worker may delay the response until a run has ended.
 	Wait time.Duration
 }
 
-// ActiveRun is a run that a worker reports.
+// ActiveRun is a run that a worker reports as running.
 type ActiveRun struct {
 	Run        RunRef
 	Checkpoint string
-	// Speed is the share of its speed at which the run may work, in percent.
+	// Speed is the percentage of its full speed to which the run is limited.
 	Speed int
-	// Load is the tail of a serving task's response times in milliseconds, or
-	// the processors in use in thousandths of a core. It is rough.
+	// Load is the tail latency of a serving task in milliseconds, or the processor use of
+	// any other task in thousandths of a core. It is an approximate value.
 	Load int64
 }
 
-// Ending says how a run ended.
+// Ending is the way in which a run ended.
 type Ending uint8
 
-// The endings of runs.
+// The ways in which runs end.
 const (
-	// EndedUnknown is an ending that this program does not know.
+	// EndedUnknown stands for any ending that this program does not know.
 	EndedUnknown Ending = iota
 	EndedDone
-	// EndedFailed is by the run's own fault or the worker's.
+	// EndedFailed means that the run failed, by its own fault or the worker's.
 	EndedFailed
 	EndedStopped
-	// EndedLapsed means that the worker's lease ran out.
+	// EndedLapsed means that the worker's lease expired.
 	EndedLapsed
 	// EndedBroken means that another member of the gang ended.
 	EndedBroken
-	// EndedAlone means that the other members of the gang did not come.
+	// EndedAlone means that the other members of the gang did not start.
 	EndedAlone
 )
 
@@ -148,60 +153,63 @@
 	return endingNames[EndedUnknown]
 }
 
-// EndedRun is an end that a worker reports until it is acknowledged.
+// EndedRun is an ended run, which a worker reports until it is acknowledged.
 type EndedRun struct {
-	// Number counts the ends of this incarnation of the worker, from 1.
+	// Number numbers the ended runs of this incarnation of the worker, starting at 1.
 	Number     int64
 	Run        RunRef
 	Ending     Ending
 	Checkpoint string
 }
 
-// Report is a worker's answer to a lease order.
+// Report is a worker's response to a lease order.
 type Report struct {
-	// Incarnation is the one that answered.
+	// Incarnation is the incarnation that responded.
 	Incarnation Incarnation
 	Clock       time.Duration
 	Active      []ActiveRun
 	Ended       []EndedRun
-	// Partial says that some rows could not be read: a run that is in none of the
-	// others may be in one of these.
+	// Partial is set if some rows could not be decoded. A run that is missing from the
+	// other rows may be in one of them.
 	Partial bool
 }
 
-// MaxReportedEnds is how many ends a worker reports at once; with so many, it
-// may hold back more.
+// MaxReportedEnds is the maximum number of ended runs in a report. If a report contains that
+// many, the worker may have more of them.
 const MaxReportedEnds = 500
 
-// ThrottleOrder slows a run down so that it disturbs its neighbours less.
+// ThrottleOrder limits a run to a percentage of its full speed, so that it disturbs the
+// other runs on the worker less.
 type ThrottleOrder struct {
 	Run     RunRef
 	Fence   int64
 	Percent int
 }
 
-// Reason says why a worker refused an order. A refused order has no effect.
+// Reason is the reason for which a worker refused an order. A refused order has no effect.
 type Reason uint8
 
-// The reasons of refusals.
+// The reasons for which workers refuse orders.
 const (
-	// RefusedUnknown is a reason that this program does not know.
+	// RefusedUnknown stands for any reason that this program does not know.
 	RefusedUnknown Reason = iota
-	// RefusedFenced means that the worker has seen a higher fence.
+	// RefusedFenced means that the worker has received a higher fence.
 	RefusedFenced
-	// RefusedOutdated means that the run is not above one that ended there.
+	// RefusedOutdated means that the run's number is not higher than that of a run of the
+	// task that has ended on the worker.
 	RefusedOutdated
-	// RefusedLate means that the lease would have ended already.
+	// RefusedLate means that the lease in the order had already expired.
 	RefusedLate
-	// RefusedNoRoom means that the task does not fit.
+	// RefusedNoRoom means that the task does not fit into the worker's free capacity.
 	RefusedNoRoom
 	// RefusedNoTicket means that the advisor's ticket is missing or expired.
 	RefusedNoTicket
-	// RefusedUnhealthy means that the worker turns work away.
+	// RefusedUnhealthy means that the worker currently accepts no orders.
 	RefusedUnhealthy
-	// RefusedOtherIncarnation means that another incarnation of the worker listens there.
+	// RefusedOtherIncarnation means that another worker or incarnation listens at the
+	// address.
 	RefusedOtherIncarnation
-	// RefusedMalformed means that the order itself was wrong.
+	// RefusedMalformed means that the order was invalid.
 	RefusedMalformed
 )
 
@@ -215,48 +223,52 @@
 	return reasonNames[RefusedUnknown]
 }
 
-// RefusedError is a worker's refusal.
+// RefusedError is returned for an order that a worker refused.
 type RefusedError struct {
 	Reason Reason
-	// Clock is the worker's clock, or zero if the answer did not say.
+	// Clock is the worker's clock, or zero if the response did not include it.
 	Clock time.Duration
 }
 
-// Error names the reason.
+// Error returns a message with the reason.
 func (e *RefusedError) Error() string {
 	return "worker refused: " + e.Reason.String()
 }
 
-// ErrForeign is reported beside ErrNoAnswer for an answer that no worker gives.
+// ErrForeign is returned together with ErrNoAnswer for a response that is not a valid
+// response of a worker.
 var ErrForeign = errors.New("foreign message")
 
-// Workers carries orders to workers. Every error is ErrNoAnswer or a
-// *RefusedError. Start, Stop and Throttle return the worker's clock. An order to an
-// incarnation is carried out by no other one.
+// Workers sends orders to workers. Every error is ErrNoAnswer or a *RefusedError. Start,
+// Stop and Throttle return the worker's clock. An order is only ever carried out by the
+// incarnation to which it was sent.
 type Workers interface {
 	Start(to WorkerRef, order StartOrder, timeout time.Duration) (time.Duration, error)
 	Stop(to WorkerRef, run RunRef, fence int64, timeout time.Duration) (time.Duration, error)
 	Throttle(to WorkerRef, order ThrottleOrder, timeout time.Duration) (time.Duration, error)
-	// Renew renews the lease and returns what runs and what has ended.
+	// Renew renews the lease and returns a report of the active and the ended runs.
 	Renew(to WorkerRef, order LeaseOrder, timeout time.Duration) (Report, error)
-	// Healthy asks the worker's health page whether it considers itself healthy.
+	// Healthy queries the worker's health endpoint and reports whether the worker
+	// considers itself healthy.
 	Healthy(to WorkerRef, path string, timeout time.Duration) (bool, error)
 	// Forget closes the connections to an incarnation that has ended.
 	Forget(to WorkerRef)
 }
 
-// Advice is the advisor's leave to run a step on some workers.
+// Advice is the advisor's permission to run a step on some workers.
 type Advice struct {
-	// Tickets are by the workers' IDs; a worker without one must not run it.
+	// Tickets holds a ticket for each permitted worker by its ID. A worker without a
+	// ticket must not run the step.
 	Tickets map[string]string
-	Valid   time.Duration
+	// Valid is how long the tickets are valid.
+	Valid time.Duration
 }
 
 // Advisor decides which workers may run a step.
 type Advisor interface {
-	// Advise asks about up to MaxAdvised workers.
+	// Advise asks which of up to MaxAdvised workers may run the step.
 	Advise(step StepID, workers []string, timeout time.Duration) (Advice, error)
 }
 
-// MaxAdvised bounds the workers in one request to the advisor.
+// MaxAdvised is the maximum number of workers in one request to the advisor.
 const MaxAdvised = 100
