--- a/jayentry/backend.go
+++ b/jayentry/backend.go
@@ -10,24 +10,26 @@
 	"jaythread/jaywire"
 )
 
-// This file is what an entry is to its servers for callers and operators.
+// This file implements the interfaces through which the servers for callers and
+// operators use the entry.
 
 // Self returns the entry's identity.
 func (e *Entry) Self() string {
 	return e.options.Entry
 }
 
-// Read calls visit with the state.
+// Read calls visit with the current state; visit must not keep or change it.
 func (e *Entry) Read(visit func(*jaystate.State)) {
 	e.store.Read(visit)
 }
 
-// Propose has the fold decide on a command.
+// Propose appends a command to the log and returns the state machine's decision on
+// it.
 func (e *Entry) Propose(c *jaywire.Command, timeout time.Duration) (jaystate.Outcome, error) {
 	return e.store.Propose(c, timeout)
 }
 
-// Revisions returns the revision in force at each live entry.
+// Revisions returns the configuration revision in force at each live entry.
 func (e *Entry) Revisions() map[string]uint64 {
 	revisions := e.members.Revisions()
 	revisions[e.options.Entry] = 0
@@ -37,15 +39,15 @@
 	return revisions
 }
 
-// Errors that readyz shows.
+// These errors are reported by the readiness check.
 var (
 	errNoConfiguration = errors.New("no configuration is in force yet")
-	errClaims          = errors.New("earlier claims are not known yet")
+	errClaimsUnknown   = errors.New("earlier claims are not known yet")
 	errStopping        = errors.New("stopping")
 	errCutOff          = errors.New("cut off from the log and from most peers: the view may be out of date")
 )
 
-// Ready returns why the entry does not serve, or nil.
+// Ready returns nil if the entry serves requests, or else the reason why not.
 func (e *Entry) Ready() error {
 	if e.stopping.Load() {
 		return errStopping
@@ -56,27 +58,28 @@
 	if !e.viewUsable() {
 		return errCutOff
 	}
-	if !e.claimer.Ready() && time.Since(e.started) < claimTimeout {
-		return errClaims
+	if !e.claimer.Ready() && time.Since(e.started) < claimReadyTimeout {
+		return errClaimsUnknown
 	}
 	return nil
 }
 
-// claimTimeout is for how long an entry that has just started waits for the
-// earlier claims before it says that it is ready. After it, the entry takes
-// what needs no claim and refuses the rest.
-const claimTimeout = 5 * time.Second
+// claimReadyTimeout limits how long an entry that has just started reports itself
+// as not ready because earlier claims are unknown. After it, the entry serves
+// requests that need no claim and refuses the others.
+const claimReadyTimeout = 5 * time.Second
 
-// viewUsable reports whether the view may be used to route. An entry that
-// hears neither the log nor a majority of the entries may be the only one that
-// has not seen an instance drain or move; it must stop before the others rely
-// on that. While the log is down for all, the majority is heard and serving
-// goes on.
+// viewUsable reports whether the routing view may still be used. An entry that
+// reaches neither the log nor a majority of the entries may be the only one that
+// has not seen an instance drain or move, so it must stop routing before the other
+// entries rely on that change. If the log is down for all entries, the majority is
+// still reachable and the entry keeps serving.
 func (e *Entry) viewUsable() bool {
 	return time.Since(e.router.FreshAt()) <= viewLease || e.members.Confirmed()
 }
 
-// View returns the view that requests are decided by.
+// View returns the view that requests are routed by, or a refusal if it is missing
+// or may be out of date.
 func (e *Entry) View() (*jayserve.View, *jayverdict.Error) {
 	v := e.router.View()
 	if v == nil {
@@ -88,7 +91,8 @@
 	return v, nil
 }
 
-// NoteLeaving learns from an upstream or a peer that an upstream leaves.
+// NoteLeaving records a notice from an upstream or a peer that an upstream is
+// leaving.
 func (e *Entry) NoteLeaving(upstream string) {
 	if e.members.NoteLeaving(upstream) {
 		e.router.leaving.Push(upstream)
--- a/jayentry/capacity_test.go
+++ b/jayentry/capacity_test.go
@@ -15,12 +15,12 @@
 	"jaythread/jaywire"
 )
 
-// BenchmarkCapacityView is the time to rebuild the routing view after a
+// BenchmarkCapacityView measures the time to rebuild the routing view after a
 // change, by fleet size, with 24 entries.
 func BenchmarkCapacityView(b *testing.B) {
 	for _, workers := range []int{50, 500, 5600} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			r := bigRouter(b, workers)
+			r := largeRouter(b, workers)
 			for b.Loop() {
 				r.rebuild()
 			}
@@ -28,7 +28,7 @@
 	}
 }
 
-func bigRouter(b *testing.B, workers int) *Router {
+func largeRouter(b *testing.B, workers int) *Router {
 	b.Helper()
 	store := NewStore("entry-0", jaystandin.NewLogService(), 1000, logr.Discard())
 	link := jaypeer.NewClient("entry-0", time.Second, nil)
@@ -36,7 +36,7 @@
 	upstream := jayupstream.NewClient(time.Second, time.Second, 1000)
 	r := NewRouter("entry-0", store, members, upstream, 100, logr.Discard())
 	var commands []*jaywire.Command
-	commands = append(commands, publishCommand(0, bigDocument()))
+	commands = append(commands, publishCommand(0, largeDocument()))
 	for n := range 24 {
 		commands = append(commands, &jaywire.Command{Body: &jaywire.Command_JoinEntry{JoinEntry: &jaywire.JoinEntry{Entry: fmt.Sprint("entry-", n)}}})
 	}
@@ -53,11 +53,11 @@
 		b.Fatal(err)
 	}
 	store.Take(jayplatform.Page{Next: 1, Records: []jayplatform.Record{{Data: record}}}, time.Now(), true)
-	r.takeList(list)
+	r.applyInstances(list)
 	return r
 }
 
-func bigDocument() string {
+func largeDocument() string {
 	document := `{"pools":[`
 	for p := range 34 {
 		if p > 0 {
--- a/jayentry/claims.go
+++ b/jayentry/claims.go
@@ -17,12 +17,12 @@
 	"jaythread/jaywire"
 )
 
-// claimAppendsPerSecond is what all entries together may append for claims, of
-// the several hundred appends a second that the log service takes. The members
-// share it evenly; many claims share an append.
+// claimAppendsPerSecond limits the rate at which all entries together append
+// claims. The log service takes several hundred appends a second in total. The
+// members share this rate evenly, and one append can carry many claims.
 const claimAppendsPerSecond = 240
 
-// claimLog carries claims to and from their stream.
+// claimLog appends claims to the claim stream and applies the claims read from it.
 type claimLog struct {
 	committer *jaylog.Committer[*jaywire.Claim, bool]
 	claimer   *jayclaim.Claimer
@@ -44,41 +44,42 @@
 	return proto.Marshal(&jaywire.ClaimBatch{Claims: claims})
 }
 
-// Commit appends a claim and reports whether it stands first for its key.
+// Commit appends a claim and reports whether it is the first one for its key in
+// the log.
 func (c *claimLog) Commit(id string, claim *jaywire.Claim, timeout time.Duration) (bool, error) {
 	return c.committer.Commit(id, claim, timeout)
 }
 
-// Submit appends a claim without waiting.
+// Submit appends a claim without waiting for the result.
 func (c *claimLog) Submit(id string, claim *jaywire.Claim) error {
 	return c.committer.Submit(id, claim)
 }
 
-// Forget gives up an append that is not under way.
+// Forget drops a queued claim whose append has not begun.
 func (c *claimLog) Forget(id string) {
 	c.committer.Forget(id)
 }
 
-// From is the offset to fold next.
+// From returns the offset of the next record to apply.
 func (c *claimLog) From() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.from
 }
 
-// CaughtUp reports whether the stream's end was reached once.
+// CaughtUp reports whether the end of the stream has been reached at least once.
 func (c *claimLog) CaughtUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.caughtUp
 }
 
-// Take folds a page of claims.
+// Take applies a page of claims.
 func (c *claimLog) Take(page jayplatform.Page, readBegan time.Time, caughtUp bool) {
 	for _, record := range page.Records {
 		batch := &jaywire.ClaimBatch{}
 		if err := proto.Unmarshal(record.Data, batch); err != nil {
-			c.logger.Info("record passed over", "offset", record.Offset, "error", err.Error())
+			c.logger.Info("skipping unreadable claim record", "offset", record.Offset, "error", err.Error())
 			continue
 		}
 		for _, claim := range batch.Claims {
@@ -109,23 +110,25 @@
 	return strings.Join([]string{"release", claim}, " ")
 }
 
-// Expired goes on from the oldest claim that is kept. The claims before it are
-// older than the log service's retention, which must exceed the claim window.
+// Expired continues from the oldest record that the log service still keeps.
+// Earlier claims can be skipped because the log service's retention must exceed
+// the claim window.
 func (c *claimLog) Expired(first uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.from = first
 }
 
+// claimSyncPause is the delay between two attempts to load earlier claims.
 const claimSyncPause = 200 * time.Millisecond
 
-// syncClaims makes the claimer ready once this entry knows all earlier claims:
-// those of the log, or while the log is down those of the peers.
+// syncClaims marks the claimer as ready once this entry knows all earlier claims:
+// those in the log, or those of the peers while the log is down.
 func (e *Entry) syncClaims(ctx context.Context) {
 	for ctx.Err() == nil {
-		if e.claimsKnown() {
+		if e.loadEarlierClaims() {
 			e.claimer.SetReady()
-			e.logger.Info("earlier claims are known", "keys", e.claimer.Keys())
+			e.logger.Info("earlier claims loaded", "keys", e.claimer.Keys())
 			return
 		}
 		select {
@@ -135,10 +138,10 @@
 	}
 }
 
-// claimsKnown asks every member for its claims: those made while the log was
-// down stand nowhere else. One that neither answers nor has ended may know
-// one, so the entry is not ready without it.
-func (e *Entry) claimsKnown() bool {
+// loadEarlierClaims asks every member for its claims, since claims made while the
+// log was down are stored only at members. It reports whether all earlier claims
+// are known: a member that neither answers nor has ended may hold one.
+func (e *Entry) loadEarlierClaims() bool {
 	if !e.store.CaughtUp() {
 		return false
 	}
--- a/jayentry/claims_test.go
+++ b/jayentry/claims_test.go
@@ -15,8 +15,8 @@
 	"jaythread/jayverdict"
 )
 
-// payAtOnce sends the same payment to entries concurrently.
-func payAtOnce(key string, nodes ...*node) []answer {
+// payConcurrently sends the same payment to several entries at the same time.
+func payConcurrently(key string, nodes ...*node) []answer {
 	answers := make([]answer, len(nodes))
 	var sent sync.WaitGroup
 	for n, at := range nodes {
@@ -26,8 +26,8 @@
 	return answers
 }
 
-// count returns how many answers have a status.
-func count(answers []answer, status int) int {
+// countStatus returns the number of answers with the given status.
+func countStatus(answers []answer, status int) int {
 	n := 0
 	for _, a := range answers {
 		if a.status == status {
@@ -37,23 +37,23 @@
 	return n
 }
 
-// logDown takes the log service down and waits until the entries know.
-func (w *world) logDown() {
+// takeLogDown makes the log service fail and waits until the entries have noticed.
+func (w *cluster) takeLogDown() {
 	w.log.SetFaults(jaystandin.LogFaults{Down: true})
 	time.Sleep(3 * time.Second)
 }
 
 func TestPaymentRunsOnce(t *testing.T) {
 	t.Run("sent to all entries at once", func(t *testing.T) {
-		inWorld(t, 8, func(w *world) {
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
-			answers := payAtOnce("k", w.nodes...)
+			answers := payConcurrently("k", w.nodes...)
 			is.Equal(w.runsOf("k"), 1)
-			is.Equal(count(answers, 200), 8) // the first ran, the others got its answer
+			is.Equal(countStatus(answers, 200), 8) // the first request ran, the others got its stored answer
 		})
 	})
 	t.Run("sent again minutes later to another entry", func(t *testing.T) {
-		inWorld(t, 4, func(w *world) {
+		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			is.Equal(w.nodes[0].pay("k").status, 200)
 			time.Sleep(5 * time.Minute)
@@ -64,20 +64,20 @@
 		})
 	})
 	t.Run("sent again after the entry that ran it is lost", func(t *testing.T) {
-		inWorld(t, 4, func(w *world) {
+		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			is.Equal(w.nodes[0].pay("k").status, 200)
-			time.Sleep(100 * time.Millisecond) // the answer is copied
+			time.Sleep(100 * time.Millisecond) // time to copy the answer to the peers
 			w.nodes[0].kill()
 			is.Equal(w.nodes[1].pay("k").status, 200)
 			is.Equal(w.runsOf("k"), 1)
 		})
 	})
 	t.Run("the entry is lost while it runs", func(t *testing.T) {
-		inWorld(t, 4, func(w *world) {
+		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.setUpstream(func(_ string, r *http.Request, _ string, _ net.Conn) bool {
-				w.ran(r)
+				w.recordRun(r)
 				time.Sleep(30 * time.Second)
 				return false
 			})
@@ -91,7 +91,7 @@
 		})
 	})
 	t.Run("another caller's same key is another payment", func(t *testing.T) {
-		inWorld(t, 2, func(w *world) {
+		withCluster(t, 2, func(w *cluster) {
 			is := is.New(w.t)
 			is.Equal(w.nodes[0].pay("k").status, 200)
 			got := w.nodes[1].send(http.MethodPost, "/fees/pay", "k", "amount=2")
@@ -103,36 +103,35 @@
 }
 
 func TestPaymentWhileTheLogIsDown(t *testing.T) {
-	// Symptom: a payment runs twice around an outage of the platform's store,
-	// or every payment is refused for as long as it lasts.
-	// Sequence: the log goes down; the payment comes to two entries, or an
-	// entry that ran it just before is lost.
-	// Cause: a claim that only the log knows.
+	// Guards against payments that run twice, or are all refused, during an outage
+	// of the log: a claim that only the log stores is unknown to the other entries
+	// when the payment reaches two of them, or when the entry that ran it just
+	// before is lost.
 	t.Run("runs once", func(t *testing.T) {
-		inWorld(t, 8, func(w *world) {
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
-			w.logDown()
+			w.takeLogDown()
 			is.Equal(w.nodes[0].pay("k").status, 200)
 			is.Equal(w.nodes[5].pay("k").status, 200)
 			is.Equal(w.runsOf("k"), 1)
 		})
 	})
 	t.Run("runs once at two entries at once", func(t *testing.T) {
-		inWorld(t, 8, func(w *world) {
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
-			w.logDown()
+			w.takeLogDown()
 			for n := range 20 {
 				key := fmt.Sprint("k", n)
-				payAtOnce(key, w.nodes[n%8], w.nodes[(n+3)%8])
+				payConcurrently(key, w.nodes[n%8], w.nodes[(n+3)%8])
 				is.True(w.runsOf(key) <= 1)
 			}
 		})
 	})
 	t.Run("only the first one waits for the log", func(t *testing.T) {
-		// Symptom: p99 rises to the claim's timeout for two seconds.
-		// Sequence: the log goes down; each payment waits for it in turn.
-		// Cause: only the age of the last read was looked at.
-		inWorld(t, 4, func(w *world) {
+		// Guards against a p99 latency that rises to the claim timeout for two
+		// seconds: if only the age of the last read decides, each payment waits
+		// for the failed log in turn.
+		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.log.SetFaults(jaystandin.LogFaults{Down: true})
 			is.Equal(w.nodes[0].pay("first").status, 200)
@@ -142,9 +141,9 @@
 		})
 	})
 	t.Run("two entries are lost, the rest goes on", func(t *testing.T) {
-		inWorld(t, 8, func(w *world) {
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
-			w.logDown()
+			w.takeLogDown()
 			is.Equal(w.nodes[0].pay("k").status, 200)
 			w.nodes[0].kill()
 			w.nodes[1].kill()
@@ -154,9 +153,9 @@
 		})
 	})
 	t.Run("three entries are lost, first payments are refused", func(t *testing.T) {
-		inWorld(t, 8, func(w *world) {
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
-			w.logDown()
+			w.takeLogDown()
 			for _, n := range w.nodes[:3] {
 				n.kill()
 			}
@@ -167,23 +166,23 @@
 		})
 	})
 	t.Run("a silent entry may know the claim", func(t *testing.T) {
-		inWorld(t, 8, func(w *world) {
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
-			w.logDown()
+			w.takeLogDown()
 			w.nodes[7].set(func(n *node) { n.cutPeer = true })
 			got := w.nodes[0].pay("new")
 			is.Equal(got.verdict, jayverdict.NotRun)
 		})
 	})
 	t.Run("it ran just before the log went down", func(t *testing.T) {
-		// The others have not read the claim from the log yet.
-		inWorld(t, 8, func(w *world) {
+		// The other entries have not read the claim from the log yet.
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			for _, n := range w.nodes[1:] {
 				n.set(func(n *node) { n.cutLog = true })
 			}
 			is.Equal(w.nodes[0].pay("k").status, 200)
-			w.logDown()
+			w.takeLogDown()
 			w.nodes[0].kill()
 			for _, n := range w.nodes[1:] {
 				n.pay("k")
@@ -192,9 +191,9 @@
 		})
 	})
 	t.Run("an entry that starts after the outage knows of it", func(t *testing.T) {
-		inWorld(t, 8, func(w *world) {
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
-			w.logDown()
+			w.takeLogDown()
 			is.Equal(w.nodes[0].pay("k").status, 200)
 			w.log.SetFaults(jaystandin.LogFaults{})
 			fresh := w.start()
@@ -211,14 +210,13 @@
 	})
 }
 
-func TestClaimOfAnOutageReachesTheLog(t *testing.T) {
-	// Symptom: a payment runs twice, long after an outage.
-	// Sequence: it runs while the log is down; the log comes back; all
-	// entries are replaced; the payment is sent again.
-	// Cause: the claim lived only in the entries of that time.
-	inWorld(t, 4, func(w *world) {
+func TestClaimsMadeDuringOutageAreAppended(t *testing.T) {
+	// Guards against a payment that runs again long after an outage: it runs while
+	// the log is down, all entries are replaced once the log is back, and the
+	// claim was stored only in the replaced entries.
+	withCluster(t, 4, func(w *cluster) {
 		is := is.New(w.t)
-		w.logDown()
+		w.takeLogDown()
 		is.Equal(w.nodes[0].pay("k").status, 200)
 		w.log.SetFaults(jaystandin.LogFaults{})
 		w.settle()
@@ -233,12 +231,11 @@
 	})
 }
 
-func TestRunningClaimOfACutOffEntryHolds(t *testing.T) {
-	// Symptom: a payment runs twice.
-	// Sequence: the only entry is cut off from the log and runs a payment by
-	// itself; a second entry joins, and its claim stands first in the log.
-	// Cause: the log alone was taken to know all claims.
-	inWorld(t, 1, func(w *world) {
+func TestClaimOfIsolatedEntryIsRespected(t *testing.T) {
+	// Guards against a payment that runs twice: an entry that cannot reach the log
+	// runs it under its own claim, and the claim of an entry that has just joined
+	// is the first in the log. The log alone does not know all claims.
+	withCluster(t, 1, func(w *cluster) {
 		is := is.New(w.t)
 		w.nodes[0].set(func(n *node) { n.cutLog = true })
 		time.Sleep(3 * time.Second)
@@ -251,11 +248,9 @@
 }
 
 func TestRefusedPaymentRunsLater(t *testing.T) {
-	// Symptom: a payment that was refused as "not run" can never be made.
-	// Sequence: no upstream can be reached; the caller is refused and tries
-	// again.
-	// Cause: the claim of the refused attempt stays.
-	inWorld(t, 4, func(w *world) {
+	// Guards against a payment that can never be made after it was refused as not
+	// run: no upstream takes it, and the claim of the refused attempt remains.
+	withCluster(t, 4, func(w *cluster) {
 		is := is.New(w.t)
 		w.setUpstream(func(_ string, _ *http.Request, _ string, conn net.Conn) bool {
 			respond(conn, 503, "", "Jaythread-Verdict: notRun")
@@ -270,9 +265,9 @@
 		is.Equal(w.runsOf("k"), 1)
 	})
 	t.Run("also while the log is down", func(t *testing.T) {
-		inWorld(t, 4, func(w *world) {
+		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
-			w.logDown()
+			w.takeLogDown()
 			w.setUpstream(func(_ string, _ *http.Request, _ string, conn net.Conn) bool {
 				respond(conn, 503, "", "Jaythread-Verdict: notRun")
 				return false
@@ -286,17 +281,17 @@
 	})
 }
 
-// TestPaymentsUnderAnyFaults sends the same few payments to any entries while
-// the log fails and entries are cut off, lost and replaced, in many orders.
+// TestPaymentsUnderAnyFaults repeats a few payments at random entries while the
+// log fails and entries are isolated, killed and replaced in random order.
 func TestPaymentsUnderAnyFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inWorld(t, 6, func(w *world) { payUnderFaults(w, seed) })
+			withCluster(t, 6, func(w *cluster) { payUnderFaults(w, seed) })
 		})
 	}
 }
 
-func payUnderFaults(w *world, seed uint64) {
+func payUnderFaults(w *cluster, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	refused := map[string]bool{}
 	var mu sync.Mutex
@@ -314,7 +309,7 @@
 				mu.Unlock()
 			}
 		})
-		w.anyFault(random)
+		w.injectRandomFault(random)
 		time.Sleep(time.Duration(random.IntN(600)) * time.Millisecond)
 	}
 	sent.Wait()
@@ -328,7 +323,7 @@
 	}
 }
 
-func (w *world) anyFault(random *rand.Rand) {
+func (w *cluster) injectRandomFault(random *rand.Rand) {
 	live := w.live()
 	n := live[random.IntN(len(live))]
 	switch random.IntN(12) {
@@ -353,14 +348,14 @@
 	}
 }
 
-// TestShareOfPaymentsDuringOutage measures which share of first payments goes
-// through while the log is down for a minute, with all entries and with
-// some of them lost. docs/notes/at-most-once.md quotes it.
+// TestShareOfPaymentsDuringOutage measures the share of first payments that
+// succeed while the log is down for a minute, with all entries and with some of
+// them lost. docs/notes/at-most-once.md quotes the result.
 func TestShareOfPaymentsDuringOutage(t *testing.T) {
 	for lost, want := range map[int]int{0: 100, 1: 100, 2: 100, 3: 0} {
 		t.Run(fmt.Sprintf("%d of 8 entries lost", lost), func(t *testing.T) {
-			inWorld(t, 8, func(w *world) {
-				w.logDown()
+			withCluster(t, 8, func(w *cluster) {
+				w.takeLogDown()
 				for _, n := range w.nodes[:lost] {
 					n.kill()
 				}
--- a/jayentry/world_test.go
+++ b/jayentry/cluster_test.go
@@ -28,10 +28,10 @@
 	"jaythread/jaywire"
 )
 
-// world is a set of entries with fakes at their interfaces, on a fake clock:
-// the log stand-in, an instance list, upstreams on in-memory connections, and
-// a peer link that can be cut.
-type world struct {
+// cluster is a set of entries on a fake clock with fake dependencies: the log
+// stand-in, an instance list, upstreams on in-memory connections, and a peer link
+// that can be interrupted.
+type cluster struct {
 	t   *testing.T
 	log *jaystandin.LogService
 
@@ -39,14 +39,14 @@
 	nodes []*node
 	runs  map[string]int
 	list  []jayplatform.Instance
-	// upstream answers a request at an upstream; nil answers with 200.
+	// upstream handles a request at an upstream; nil answers with 200.
 	upstream func(addr string, r *http.Request, body string, conn net.Conn) bool
 	reverted []string
 }
 
-// node is one entry of the world and what is cut for it.
+// node is one entry of the cluster and the faults injected into it.
 type node struct {
-	world   *world
+	cluster *cluster
 	entry   *Entry
 	addr    string
 	cancel  context.CancelFunc
@@ -61,17 +61,17 @@
 	linkDelay   = time.Millisecond
 )
 
-// inWorld runs a test in a world of n entries that have a configuration in
-// force, on a fake clock.
-func inWorld(t *testing.T, n int, test func(w *world)) {
+// withCluster runs a test on a fake clock in a cluster of n entries that have a
+// configuration in force.
+func withCluster(t *testing.T, n int, test func(w *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		defer w.stopAll()
 		for range n {
 			w.start()
 		}
-		w.publish(0, worldDocument)
+		w.publish(0, clusterDocument)
 		w.settle()
 		test(w)
 		for _, text := range w.reverted {
@@ -80,14 +80,14 @@
 	})
 }
 
-const worldDocument = `{
+const clusterDocument = `{
   "pools": [{"name": "fees", "instances": ["fees-*"], "minAvailable": 2}],
   "rules": [
     {"name": "pay", "about": "request", "when": {"method": ["POST"]}, "then": {"route": "fees"}},
     {"name": "read", "about": "request", "then": {"route": "fees", "idempotent": true}}]}`
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, log: jaystandin.NewLogService(), runs: map[string]int{}}
+func newCluster(t *testing.T) *cluster {
+	w := &cluster{t: t, log: jaystandin.NewLogService(), runs: map[string]int{}}
 	for n := range 4 {
 		w.list = append(w.list, jayplatform.Instance{
 			ID: fmt.Sprintf("fees-%d", n), Kind: jayplatform.Worker, Addr: fmt.Sprintf("10.0.0.%d:80", n),
@@ -97,19 +97,19 @@
 	return w
 }
 
-// start adds an entry.
-func (w *world) start() *node {
+// start adds an entry to the cluster.
+func (w *cluster) start() *node {
 	w.mu.Lock()
 	number := len(w.nodes)
 	w.mu.Unlock()
-	n := &node{world: w, addr: fmt.Sprintf("peer-%d", number)}
+	n := &node{cluster: w, addr: fmt.Sprintf("peer-%d", number)}
 	o := jayoptions.New()
 	o.Entry = fmt.Sprintf("entry-%d", number)
 	o.PeerAddr = n.addr
 	for _, other := range w.live() {
 		o.PeerSeeds = append(o.PeerSeeds, other.addr)
 	}
-	entry, err := New(o, &nodePlatform{node: n}, logr.Discard(), WithPeerLink(&link{node: n}), WithUpstreamDial(w.dial))
+	entry, err := New(o, &nodePlatform{node: n}, logr.Discard(), WithPeerLink(&fakePeerLink{node: n}), WithUpstreamDial(w.dial))
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -124,42 +124,42 @@
 	return n
 }
 
-// watchRevision notes a revision in force that went back.
+// watchRevision records an error if the revision in force decreases.
 func (n *node) watchRevision(ctx context.Context) {
 	for ctx.Err() == nil {
 		if v := n.entry.router.View(); v != nil {
-			n.world.mu.Lock()
+			n.cluster.mu.Lock()
 			if v.Revision < n.highest {
-				n.world.reverted = append(n.world.reverted, fmt.Sprintf("%s went back from %d to %d", n.entry.Self(), n.highest, v.Revision))
+				n.cluster.reverted = append(n.cluster.reverted, fmt.Sprintf("%s went back from %d to %d", n.entry.Self(), n.highest, v.Revision))
 			}
 			n.highest = max(n.highest, v.Revision)
-			n.world.mu.Unlock()
+			n.cluster.mu.Unlock()
 		}
 		jayclock.Sleep(ctx, 20*time.Millisecond)
 	}
 }
 
-// kill ends an entry without warning.
+// kill ends an entry without a graceful stop.
 func (n *node) kill() {
-	n.world.mu.Lock()
+	n.cluster.mu.Lock()
 	n.dead = true
-	n.world.mu.Unlock()
+	n.cluster.mu.Unlock()
 	n.cancel()
 }
 
 func (n *node) set(change func(n *node)) {
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	change(n)
 }
 
 func (n *node) is(what func(n *node) bool) bool {
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	return what(n)
 }
 
-func (w *world) live() []*node {
+func (w *cluster) live() []*node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var live []*node
@@ -171,7 +171,7 @@
 	return live
 }
 
-func (w *world) stopAll() {
+func (w *cluster) stopAll() {
 	for _, n := range w.live() {
 		n.kill()
 	}
@@ -179,13 +179,13 @@
 	time.Sleep(time.Minute)
 }
 
-// settle lets the entries finish what they have begun.
-func (w *world) settle() {
+// settle gives the entries time to finish the work in progress.
+func (w *cluster) settle() {
 	time.Sleep(4 * time.Second)
 	synctest.Wait()
 }
 
-func (w *world) publish(at int, document string) jaystate.Outcome {
+func (w *cluster) publish(at int, document string) jaystate.Outcome {
 	w.t.Helper()
 	entry := w.nodes[at].entry
 	var replaces uint64
@@ -210,7 +210,7 @@
 	return 0
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status  int
 	verdict jayverdict.Verdict
@@ -218,7 +218,7 @@
 	replay  bool
 }
 
-// pay sends a keyed payment to an entry.
+// pay sends a payment with an idempotency key to the entry.
 func (n *node) pay(key string) answer {
 	return n.send(http.MethodPost, "/fees/pay", key, "amount=1")
 }
@@ -250,21 +250,21 @@
 	}
 }
 
-// runsOf returns how often an upstream ran the payment with a key.
-func (w *world) runsOf(key string) int {
+// runsOf returns how often an upstream ran the payment with the given key.
+func (w *cluster) runsOf(key string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[key]
 }
 
 // dial connects to a fake upstream.
-func (w *world) dial(addr string) (net.Conn, error) {
+func (w *cluster) dial(addr string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go w.serveUpstream(addr, far)
 	return near, nil
 }
 
-func (w *world) serveUpstream(addr string, conn net.Conn) {
+func (w *cluster) serveUpstream(addr string, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -283,7 +283,7 @@
 			return
 		}
 		if handle == nil {
-			w.ran(request)
+			w.recordRun(request)
 			respond(conn, 200, "ran")
 		}
 		if request.Close {
@@ -292,7 +292,7 @@
 	}
 }
 
-func (w *world) ran(r *http.Request) {
+func (w *cluster) recordRun(r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if key := r.Header.Get("Idempotency-Key"); key != "" {
@@ -308,21 +308,21 @@
 	_, _ = conn.Write([]byte(head + "\r\n" + body))
 }
 
-// setUpstream replaces what upstreams do.
-func (w *world) setUpstream(handle func(addr string, r *http.Request, body string, conn net.Conn) bool) {
+// setUpstream replaces the request handler of all upstreams.
+func (w *cluster) setUpstream(handle func(addr string, r *http.Request, body string, conn net.Conn) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.upstream = handle
 }
 
-// link is an entry's link to peers.
-type link struct {
+// fakePeerLink is an entry's connection to its peers.
+type fakePeerLink struct {
 	node *node
 }
 
-// Ask hands a request to the peer at an address.
-func (l *link) Ask(to, addr string, request *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
-	w := l.node.world
+// Ask passes a request to the peer at the given address.
+func (l *fakePeerLink) Ask(to, addr string, request *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
+	w := l.node.cluster
 	var target *node
 	w.mu.Lock()
 	for _, n := range w.nodes {
@@ -349,9 +349,9 @@
 }
 
 // Close does nothing.
-func (l *link) Close() {}
+func (l *fakePeerLink) Close() {}
 
-// nodePlatform is the platform as one entry reaches it.
+// nodePlatform is the platform as seen by one entry.
 type nodePlatform struct {
 	node *node
 }
@@ -362,31 +362,31 @@
 	return p.node.is(func(n *node) bool { return n.cutLog || n.dead })
 }
 
-// Append adds a record, unless the entry is cut off.
+// Append adds a record, unless the entry is isolated from the log.
 func (p *nodePlatform) Append(stream string, record []byte) (uint64, error) {
 	time.Sleep(linkDelay)
 	if p.cut() {
 		return 0, errCutLog
 	}
-	return p.node.world.log.Append(stream, record)
+	return p.node.cluster.log.Append(stream, record)
 }
 
-// Read reads records, unless the entry is cut off.
+// Read returns records, unless the entry is isolated from the log.
 func (p *nodePlatform) Read(stream string, from uint64, wait time.Duration) (jayplatform.Page, error) {
 	time.Sleep(linkDelay)
 	if p.cut() {
 		return jayplatform.Page{}, errCutLog
 	}
-	page, err := p.node.world.log.Read(stream, from, wait)
+	page, err := p.node.cluster.log.Read(stream, from, wait)
 	if p.cut() {
 		return jayplatform.Page{}, errCutLog
 	}
 	return page, err
 }
 
-// Since returns the instance list.
+// Since returns the changes of the instance list since a version.
 func (p *nodePlatform) Since(version uint64, wait time.Duration) (jayplatform.Changes, error) {
-	w := p.node.world
+	w := p.node.cluster
 	w.mu.Lock()
 	changes := jayplatform.Changes{Version: uint64(len(w.list))}
 	if int(version) < len(w.list) {
@@ -399,8 +399,8 @@
 	return changes, nil
 }
 
-// setWorker changes a worker on the instance list.
-func (w *world) setWorker(id string, state jayplatform.InstanceState) {
+// setWorker changes the state of a worker on the instance list.
+func (w *cluster) setWorker(id string, state jayplatform.InstanceState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, i := range w.list {
@@ -412,7 +412,7 @@
 	}
 }
 
-// Do takes every order.
+// Do accepts every order.
 func (p *nodePlatform) Do(string, uint64, jayplatform.Order) error {
 	return nil
 }
--- a/jayentry/entry.go
+++ b/jayentry/entry.go
@@ -1,6 +1,6 @@
-// Package jayentry assembles an entry instance from its duties, a goroutine
-// each: following the log, watching the instance list, heartbeats, planning,
-// serving callers, peers and operators.
+// Package jayentry assembles an entry instance from its background duties, each in
+// its own goroutine: following the log, watching the instance list, sending
+// heartbeats, planning, and serving callers, peers and operators.
 package jayentry
 
 import (
@@ -30,14 +30,14 @@
 	"jaythread/jaywire"
 )
 
-// Platform is all that an entry needs of the platform.
+// Platform combines the platform interfaces that an entry uses.
 type Platform interface {
 	jayplatform.Log
 	jayplatform.InstanceList
 	jayplatform.Workers
 }
 
-// Entry is one entry instance.
+// Entry is an entry instance.
 type Entry struct {
 	options *jayoptions.Options
 	base    logr.Logger
@@ -73,20 +73,20 @@
 	duties           sync.WaitGroup
 }
 
-// Option changes how an entry is made.
+// Option customizes an entry in New.
 type Option func(*Entry)
 
-// WithPeerLink replaces the link to peers, for tests.
+// WithPeerLink replaces the connection to peers, for tests.
 func WithPeerLink(link PeerLink) Option {
 	return func(e *Entry) { e.peerLink = link }
 }
 
-// WithUpstreamDial replaces how upstreams are connected to, for tests.
+// WithUpstreamDial replaces the function that connects to upstreams, for tests.
 func WithUpstreamDial(dial func(addr string) (net.Conn, error)) Option {
 	return func(e *Entry) { e.upstreamOptions = append(e.upstreamOptions, jayupstream.WithDial(dial)) }
 }
 
-// New returns an entry that is not started.
+// New returns an entry whose duties and listeners are not started yet.
 func New(options *jayoptions.Options, platform Platform, logger logr.Logger, more ...Option) (*Entry, error) {
 	if options.Entry == "" {
 		options.Entry = options.DataCenter + "-" + uuid.NewString()[:8]
@@ -134,8 +134,8 @@
 	e.peers = jaypeer.NewServer(o.Entry, time.Duration(o.PeerTimeout), e.handlePeer)
 }
 
-// claimsFresh reports whether the claims' stream was read within two of the
-// follower's waits; if not, the log is taken to be down.
+// claimsFresh reports whether the claim stream was read recently, that is within
+// two poll intervals of its follower. If not, the log is considered down.
 func (e *Entry) claimsFresh() bool {
 	return e.claimFollower.Age() < 2*time.Second
 }
@@ -144,7 +144,7 @@
 	o := e.options
 	e.upstream = jayupstream.NewClient(time.Duration(o.UpstreamIdle), time.Duration(o.DialTimeout), o.BufferBytes, e.upstreamOptions...)
 	e.router = NewRouter(o.Entry, e.store, e.members, e.upstream, o.QueuePerPool, e.base.WithName("router"))
-	e.members.routed = e.router.Offset
+	e.members.routedOffset = e.router.Offset
 	e.server = jayserve.NewServer(jayserve.Options{
 		CallerHeader: o.CallerHeader,
 		QueueTime:    time.Duration(o.QueueTime),
@@ -163,7 +163,7 @@
 	e.planner = newPlannerDuty(e)
 }
 
-// Start opens the listeners and starts the duties.
+// Start opens the listeners and starts the background duties.
 func (e *Entry) Start(ctx context.Context) error {
 	var err error
 	e.peerListener, err = net.Listen("tcp", e.options.PeerAddr)
@@ -200,28 +200,28 @@
 	e.duties.Go(func() {
 		e.members.Run(ctx, e.stateFollower.Age, e.NoteLeaving)
 	})
-	e.duties.Go(func() { e.keepJoined(ctx) })
+	e.duties.Go(func() { e.maintainMembership(ctx) })
 	e.duties.Go(func() { e.syncClaims(ctx) })
 	e.duties.Go(func() { e.planner.run(ctx) })
 	e.duties.Go(func() { e.appendSnapshots(ctx) })
 }
 
-// followState begins with the newest snapshot, or while the log is down with
-// the state of a peer.
+// followState loads the newest snapshot, or the state of a peer if the log is
+// down, and then follows the state stream.
 func (e *Entry) followState(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := e.store.LoadFromLog()
 		if err == nil || e.adoptFromPeers() {
 			break
 		}
-		e.logger.Info("no state yet", "error", err.Error())
-		jayclock.Sleep(ctx, watchPause)
+		e.logger.Info("initial state not loaded; retrying", "error", err.Error())
+		jayclock.Sleep(ctx, readRetryDelay)
 	}
 	e.stateFollower.Run(ctx)
 }
 
-// adoptFromPeers asks the peers named in the settings and on the instance
-// list for their state; this entry knows no members yet.
+// adoptFromPeers requests the state from the peers named in the settings, because
+// this entry knows no members yet. It reports whether a state was adopted.
 func (e *Entry) adoptFromPeers() bool {
 	for _, addr := range e.options.PeerSeeds {
 		response, err := e.peerLink.Ask("", addr, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_FetchState{FetchState: &jaywire.FetchState{}}})
@@ -230,23 +230,24 @@
 		}
 		adopted, err := e.store.Adopt(response.GetSnapshot())
 		if err != nil {
-			e.logger.Info("peer's state refused", "peer", addr, "error", err.Error())
+			e.logger.Info("state snapshot from peer rejected", "peer", addr, "error", err.Error())
 			continue
 		}
 		if adopted {
-			e.logger.Info("state taken from a peer", "peer", addr)
+			e.logger.Info("state adopted from peer", "peer", addr)
 			return true
 		}
 	}
 	return false
 }
 
-const joinPause = 500 * time.Millisecond
+// joinInterval is the delay between two checks of this entry's membership.
+const joinInterval = 500 * time.Millisecond
 
-// keepJoined proposes to join until the state shows it, and again if another
-// entry took this one for ended. With each look it shares out the claims'
-// appends by the number of members.
-func (e *Entry) keepJoined(ctx context.Context) {
+// maintainMembership proposes to join until the state lists this entry as a
+// member, and again if another entry has removed it as ended. On each check it
+// also divides the claim append rate by the current number of members.
+func (e *Entry) maintainMembership(ctx context.Context) {
 	for ctx.Err() == nil {
 		members := len(e.members.Others()) + 1
 		e.claimLog.committer.SetRate(claimAppendsPerSecond / float64(members))
@@ -259,10 +260,10 @@
 				}},
 			}, proposeTimeout)
 			if err != nil {
-				e.logger.V(1).Info("not joined yet", "error", err.Error())
+				e.logger.V(1).Info("join not confirmed; retrying", "error", err.Error())
 			}
 		}
-		jayclock.Sleep(ctx, joinPause)
+		jayclock.Sleep(ctx, joinInterval)
 	}
 }
 
--- a/jayentry/metrics_test.go
+++ b/jayentry/metrics_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// TestEachMetricStandsOnItsPage compares what is scraped with the operators'
-// page, both ways.
-func TestEachMetricStandsOnItsPage(t *testing.T) {
+// TestMetricsMatchDocumentation checks that the exported metrics and the
+// operators' page list the same names.
+func TestMetricsMatchDocumentation(t *testing.T) {
 	page, err := os.ReadFile("../docs/operators/metrics.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	inWorld(t, 2, func(w *world) {
+	withCluster(t, 2, func(w *cluster) {
 		is := is.New(w.t)
 		is.Equal(w.nodes[0].pay("k").status, 200)
 		w.nodes[0].entry.metrics.Retried("fees")
--- a/jayentry/pace_test.go
+++ b/jayentry/pace_test.go
@@ -14,7 +14,7 @@
 	// 200ms
 }
 
-func TestPaceKeepsTheShare(t *testing.T) {
+func TestPaceBoundsCPUShare(t *testing.T) {
 	for _, took := range []time.Duration{time.Microsecond, time.Millisecond, time.Second} {
 		share := float64(took) / float64(took+pace(took, 0))
 		if share > controlShare+1e-6 {
--- a/jayentry/peers.go
+++ b/jayentry/peers.go
@@ -15,64 +15,65 @@
 )
 
 const (
-	// viewLease is how long an entry that hears neither the log nor enough
-	// peers goes on routing by its view.
+	// viewLease is how long an entry keeps routing by its view while it reaches
+	// neither the log nor a majority of the entries.
 	viewLease = 2 * time.Second
-	// fanOut bounds the heartbeats of one tick.
-	fanOut = 8
+	// heartbeatsPerTick limits how many heartbeats are sent in one tick.
+	heartbeatsPerTick = 8
 )
 
-// peerHealth is what this entry last heard of a member.
+// peerHealth is the last known condition of a member.
 type peerHealth struct {
 	heard time.Time
-	// agreed is when the peer was last heard without being ahead of the view
-	// here.
-	agreed time.Time
-	// asked is when the peer's own heartbeat last came.
-	asked    time.Time
-	offset   uint64
-	revision uint64
-	ended    bool
-	stopping bool
+	// confirmed is when the peer was last heard with an offset not beyond this
+	// entry's view.
+	confirmed time.Time
+	// heartbeatAt is when the peer's own heartbeat last arrived.
+	heartbeatAt time.Time
+	offset      uint64
+	revision    uint64
+	ended       bool
+	stopping    bool
 }
 
-// PeerLink carries requests to peers; a *jaypeer.Client in production.
+// PeerLink sends requests to peers. In production it is a *jaypeer.Client.
 type PeerLink interface {
 	Ask(to, addr string, request *jaywire.PeerRequest) (*jaywire.PeerResponse, error)
 	Close()
 }
 
-// Membership knows the other members and how they are.
+// Membership tracks the other members and their health.
 type Membership struct {
 	self  string
 	link  PeerLink
 	store *Store
 	every time.Duration
-	// routed returns the offset of the view that requests are decided by. It
-	// may be behind what is folded; only what is routed by counts for a drain.
-	routed func() uint64
-	logger logr.Logger
-	now    func() time.Time
+	// routedOffset returns the offset of the view that requests are routed by. The
+	// view may be older than the applied state, and a drain is complete only when
+	// the view reflects it.
+	routedOffset func() uint64
+	logger       logr.Logger
+	now          func() time.Time
 
 	mu      sync.Mutex
 	health  map[string]peerHealth
 	next    int
 	leaving map[string]time.Time
-	// stopping says that this entry is leaving.
+	// stopping is set when this entry is leaving.
 	stopping bool
 	started  time.Time
-	// folded holds what this entry had folded when, oldest first.
-	folded []foldedAt
+	// applied is the recent history of applied offsets, oldest first.
+	applied []appliedOffset
 }
 
-// foldedAt is an offset and when it had been reached.
-type foldedAt struct {
+// appliedOffset is an applied offset and the time at which it was recorded.
+type appliedOffset struct {
 	at     time.Time
 	offset uint64
 }
 
-// NewMembership returns a membership over the store's members.
-// Heartbeats go out every so often.
+// NewMembership returns a Membership over the members in the store's state.
+// Heartbeats are sent at the given interval.
 func NewMembership(self string, link PeerLink, store *Store, every time.Duration, logger logr.Logger) *Membership {
 	return &Membership{
 		self:    self,
@@ -87,7 +88,7 @@
 	}
 }
 
-// Others returns the other members.
+// Others returns all members except this entry.
 func (m *Membership) Others() []jaystate.Member {
 	var others []jaystate.Member
 	m.store.Read(func(s *jaystate.State) {
@@ -100,16 +101,17 @@
 	return others
 }
 
-// Ask sends a request to a member.
+// Ask sends a request to a member and returns the response. A member that turns
+// out to have ended is marked as ended.
 func (m *Membership) Ask(member jaystate.Member, request *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
 	response, err := m.link.Ask(member.Entry, member.PeerAddr, request)
 	if errors.Is(err, jaypeer.ErrGone) {
-		m.noteEnded(member.Entry)
+		m.markEnded(member.Entry)
 	}
 	return response, err
 }
 
-func (m *Membership) noteEnded(entry string) {
+func (m *Membership) markEnded(entry string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := m.health[entry]
@@ -117,7 +119,7 @@
 	m.health[entry] = h
 }
 
-// Ended returns the members whose incarnation has ended for certain.
+// Ended returns the members whose incarnation is known to have ended.
 func (m *Membership) Ended() []string {
 	var ended []string
 	others := m.Others()
@@ -131,23 +133,24 @@
 	return ended
 }
 
-// SetStopping tells the peers with the next heartbeat that this entry leaves.
+// SetStopping makes the following heartbeats announce that this entry is leaving.
 func (m *Membership) SetStopping() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stopping = true
 }
 
-// leavingKept is for how long a notice that an upstream leaves is passed on.
-const leavingKept = 10 * time.Second
+// leavingNoticeTTL is how long a notice about a leaving upstream is passed on to
+// peers.
+const leavingNoticeTTL = 10 * time.Second
 
-// NoteLeaving records that an upstream is leaving, and reports whether that
-// is news.
+// NoteLeaving records that an upstream is leaving, and reports whether the notice
+// is new.
 func (m *Membership) NoteLeaving(upstream string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen, known := m.leaving[upstream]
-	if known && m.now().Sub(seen) < leavingKept {
+	if known && m.now().Sub(seen) < leavingNoticeTTL {
 		return false
 	}
 	m.leaving[upstream] = m.now()
@@ -159,7 +162,7 @@
 	defer m.mu.Unlock()
 	var list []string
 	for upstream, seen := range m.leaving {
-		if m.now().Sub(seen) >= leavingKept {
+		if m.now().Sub(seen) >= leavingNoticeTTL {
 			delete(m.leaving, upstream)
 			continue
 		}
@@ -168,39 +171,39 @@
 	return list
 }
 
-// Heartbeat asks some members how they are. All are asked in turn, fanOut of
-// them in one tick.
+// Heartbeat exchanges state with the next heartbeatsPerTick members in round-robin
+// order.
 func (m *Membership) Heartbeat(logAge time.Duration, onLeaving func(string)) {
-	m.noteFolded()
+	m.recordApplied()
 	others := m.Others()
 	var asked sync.WaitGroup
-	for _, member := range m.pick(others) {
-		if m.heardLately(member.Entry) {
+	for _, member := range m.pickMembers(others) {
+		if m.heardRecently(member.Entry) {
 			continue
 		}
 		asked.Go(func() { m.heartbeatOne(member, logAge, onLeaving) })
 	}
 	asked.Wait()
-	m.forget(others)
+	m.forgetFormer(others)
 }
 
-// heardLately reports whether a peer's own heartbeat has come since the last
-// tick. It told both sides everything, so asking back would double the
-// traffic. A peer that ends is not heard any more, and is asked.
-func (m *Membership) heardLately(entry string) bool {
+// heardRecently reports whether the peer's own heartbeat has arrived since the
+// last tick. A heartbeat informs both sides, so sending one back would only double
+// the traffic. A peer that has ended sends none and is asked.
+func (m *Membership) heardRecently(entry string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.now().Sub(m.health[entry].asked) < m.every*9/10
+	return m.now().Sub(m.health[entry].heartbeatAt) < m.every*9/10
 }
 
-func (m *Membership) pick(others []jaystate.Member) []jaystate.Member {
-	if len(others) <= fanOut {
+func (m *Membership) pickMembers(others []jaystate.Member) []jaystate.Member {
+	if len(others) <= heartbeatsPerTick {
 		return others
 	}
-	picked := make([]jaystate.Member, 0, fanOut)
+	picked := make([]jaystate.Member, 0, heartbeatsPerTick)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for range fanOut {
+	for range heartbeatsPerTick {
 		picked = append(picked, others[m.next%len(others)])
 		m.next++
 	}
@@ -224,7 +227,7 @@
 	if err != nil || ack == nil {
 		return
 	}
-	m.heard(member.Entry, peerHealth{heard: sent, offset: ack.Offset, revision: ack.Revision, stopping: ack.Stopping})
+	m.recordHealth(member.Entry, peerHealth{heard: sent, offset: ack.Offset, revision: ack.Revision, stopping: ack.Stopping})
 	for _, upstream := range ack.Leaving {
 		onLeaving(upstream)
 	}
@@ -233,30 +236,30 @@
 	}
 }
 
-// catchUp takes the state of a peer that is further on. An entry that is cut
-// off from the log only stays current this way.
+// catchUp adopts the state of a peer that is ahead. An entry that cannot reach the
+// log has no other way to stay current.
 func (m *Membership) catchUp(member jaystate.Member) {
 	response, err := m.Ask(member, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_FetchState{FetchState: &jaywire.FetchState{}}})
 	if err != nil || response.GetSnapshot() == nil {
 		return
 	}
 	if _, err := m.store.Adopt(response.GetSnapshot()); err != nil {
-		m.logger.Info("peer's state refused", "peer", member.Entry, "error", err.Error())
+		m.logger.Info("state snapshot from peer rejected", "peer", member.Entry, "error", err.Error())
 	}
 }
 
-func (m *Membership) heard(entry string, h peerHealth) {
+func (m *Membership) recordHealth(entry string, h peerHealth) {
 	offset, _ := m.position()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h.agreed = m.health[entry].agreed
+	h.confirmed = m.health[entry].confirmed
 	if h.offset <= offset {
-		h.agreed = h.heard
+		h.confirmed = h.heard
 	}
 	m.health[entry] = h
 }
 
-func (m *Membership) forget(others []jaystate.Member) {
+func (m *Membership) forgetFormer(others []jaystate.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := make(map[string]bool, len(others))
@@ -270,18 +273,19 @@
 	}
 }
 
-// position returns how far this entry's routing is.
+// position returns the offset that this entry routes by and the revision of its
+// state.
 func (m *Membership) position() (offset, revision uint64) {
 	m.store.Read(func(s *jaystate.State) { offset, revision = s.Offset, s.Revision.Number })
-	if m.routed != nil {
-		offset = min(offset, m.routed())
+	if m.routedOffset != nil {
+		offset = min(offset, m.routedOffset())
 	}
 	return offset, revision
 }
 
-// HandleHeartbeat answers a peer's heartbeat and learns from it.
+// HandleHeartbeat records a peer's heartbeat and returns the acknowledgement.
 func (m *Membership) HandleHeartbeat(from string, h *jaywire.Heartbeat, logAge time.Duration, onLeaving func(string)) *jaywire.HeartbeatAck {
-	m.heard(from, peerHealth{heard: m.now(), asked: m.now(), offset: h.Offset, revision: h.Revision, stopping: h.Stopping})
+	m.recordHealth(from, peerHealth{heard: m.now(), heartbeatAt: m.now(), offset: h.Offset, revision: h.Revision, stopping: h.Stopping})
 	for _, upstream := range h.Leaving {
 		onLeaving(upstream)
 	}
@@ -298,17 +302,17 @@
 	}
 }
 
-// Majority reports whether this entry has heard from a majority of the
-// members, itself included, within the view lease.
+// Majority reports whether this entry has heard from a majority of the members,
+// including itself, within the view lease.
 func (m *Membership) Majority() bool {
 	return m.majority(func(h peerHealth) time.Time { return h.heard })
 }
 
-// Confirmed reports whether a majority was heard within the view lease that
-// was not ahead of this entry's view. To hear peers is not enough: an entry that
-// wakes from a pause hears them at once, and its view is old.
+// Confirmed reports whether, within the view lease, a majority was heard that was
+// not ahead of this entry's view. Hearing from peers alone is not enough: an entry
+// that resumes after a pause hears them at once, but its view is old.
 func (m *Membership) Confirmed() bool {
-	return m.majority(func(h peerHealth) time.Time { return h.agreed })
+	return m.majority(func(h peerHealth) time.Time { return h.confirmed })
 }
 
 func (m *Membership) majority(when func(peerHealth) time.Time) bool {
@@ -324,21 +328,21 @@
 	return 2*heard > len(others)+1
 }
 
-// Acked returns the lowest offset that each member which may still route by its
-// view has folded.
+// Acked returns the lowest offset that is applied at every member that may still
+// route by its view.
 //
-// A member that has ended does not count. One that was silent for twice the
-// lease, while this entry heard a majority, counts with what this entry itself
-// had folded that long ago: if the silent one still hears a majority, one
-// member of it is heard here too and has passed that offset on to it; if not,
-// its lease on its view has lapsed since.
+// A member that has ended does not count. If a member was silent for twice the
+// lease while this entry heard a majority, the offset that this entry itself had
+// applied that long ago is used for it. If the silent member still hears a
+// majority, that majority shares a member with the one heard here, which has
+// passed that offset on. If it does not, its view lease has expired since.
 func (m *Membership) Acked() uint64 {
 	acked, _ := m.position()
 	majority := m.Majority()
 	others := m.Others()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	lapsedOffset := m.foldedBefore(2 * viewLease)
+	lapsedOffset := m.appliedBefore(2 * viewLease)
 	for _, member := range others {
 		h := m.health[member.Entry]
 		if h.ended {
@@ -357,27 +361,29 @@
 	return acked
 }
 
-// noteFolded keeps a short history of what this entry has folded.
-func (m *Membership) noteFolded() {
+// recordApplied appends the current offset to the history of applied offsets.
+func (m *Membership) recordApplied() {
 	offset, _ := m.position()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	m.folded = append(m.folded, foldedAt{at: now, offset: offset})
-	for len(m.folded) > 1 && now.Sub(m.folded[1].at) > 2*viewLease {
-		m.folded = m.folded[1:]
+	m.applied = append(m.applied, appliedOffset{at: now, offset: offset})
+	for len(m.applied) > 1 && now.Sub(m.applied[1].at) > 2*viewLease {
+		m.applied = m.applied[1:]
 	}
 }
 
-// foldedBefore returns what this entry had folded so long ago.
-func (m *Membership) foldedBefore(d time.Duration) uint64 {
-	if len(m.folded) == 0 || m.now().Sub(m.folded[0].at) < d {
+// appliedBefore returns the offset that this entry had applied the given duration
+// ago.
+func (m *Membership) appliedBefore(d time.Duration) uint64 {
+	if len(m.applied) == 0 || m.now().Sub(m.applied[0].at) < d {
 		return 0
 	}
-	return m.folded[0].offset
+	return m.applied[0].offset
 }
 
-// Revisions returns the revision that each other member last reported.
+// Revisions returns the configuration revision that each other member last
+// reported.
 func (m *Membership) Revisions() map[string]uint64 {
 	others := m.Others()
 	m.mu.Lock()
@@ -392,7 +398,7 @@
 	return revisions
 }
 
-// Run heartbeats until the context ends.
+// Run sends heartbeats until the context ends.
 func (m *Membership) Run(ctx context.Context, logAge func() time.Duration, onLeaving func(string)) {
 	for ctx.Err() == nil {
 		m.Heartbeat(logAge(), onLeaving)
--- a/jayentry/peerserver.go
+++ b/jayentry/peerserver.go
@@ -4,7 +4,7 @@
 	"jaythread/jaywire"
 )
 
-// handlePeer answers one request of a peer.
+// handlePeer answers a request from a peer.
 func (e *Entry) handlePeer(request *jaywire.PeerRequest) *jaywire.PeerResponse {
 	switch body := request.Body.(type) {
 	case *jaywire.PeerRequest_Heartbeat:
--- a/jayentry/planner.go
+++ b/jayentry/planner.go
@@ -17,26 +17,28 @@
 )
 
 const (
-	// proposeTimeout bounds the wait for the fold's decision on a command of
-	// the planner; the next round sees for itself what became of it.
+	// proposeTimeout limits the wait for the decision on a proposed command. If it
+	// expires, the next planning round reads the outcome from the state.
 	proposeTimeout = 2 * time.Second
-	// orderRing bounds the orders that wait for the platform. The oldest is
-	// dropped: each round asks again for what is not done yet.
-	orderRing = 4096
-	// orderWorkers is how many orders are under way at once.
+	// maxPendingOrders limits the orders queued for the platform. When it is
+	// exceeded the oldest order is dropped, because each round repeats the orders
+	// that have not been carried out.
+	maxPendingOrders = 4096
+	// orderWorkers is the number of orders that are sent concurrently.
 	orderWorkers = 8
 )
 
-// plannerDuty plans while this entry has the planner's lease.
+// plannerDuty runs the planner while this entry holds the planner lease.
 type plannerDuty struct {
 	entry   *Entry
 	planner *jayplan.Planner
 	orders  *jayring.Ring[jayplan.Order]
 	queue   chan jayplan.Order
-	// seenTerm and seenAt are when this entry first saw the term in force.
+	// seenTerm is the lease term in force, and seenAt is when this entry first saw
+	// it.
 	seenTerm uint64
 	seenAt   time.Time
-	// heldFrom is when this entry began to ask for the lease that it holds.
+	// heldFrom is when this entry requested the lease that it holds.
 	heldFrom time.Time
 	holding  bool
 }
@@ -50,7 +52,7 @@
 			SettleTime:    time.Duration(o.SettleTime),
 			TaskLease:     time.Duration(o.TaskLease),
 		}),
-		orders: jayring.New[jayplan.Order](orderRing),
+		orders: jayring.New[jayplan.Order](maxPendingOrders),
 		queue:  make(chan jayplan.Order),
 	}
 }
@@ -59,17 +61,17 @@
 	for range orderWorkers {
 		go d.orderWorker(ctx)
 	}
-	go d.dispatchActs(ctx)
+	go d.dispatchOrders(ctx)
 	for ctx.Err() == nil {
 		worked := d.tick()
 		jayclock.Sleep(ctx, pace(worked, time.Duration(d.entry.options.PlanEvery)))
 	}
 }
 
-// tick makes one round and returns how long the decisions took; the wait for
-// the log is not work.
+// tick runs one planning round and returns the time spent on decisions. The wait
+// for the log is not included.
 func (d *plannerDuty) tick() time.Duration {
-	if !d.lease() {
+	if !d.ensureLease() {
 		return 0
 	}
 	d.removeEnded()
@@ -88,25 +90,25 @@
 	return worked
 }
 
-// propose appends the commands together and waits until each is decided, so
-// that the next round is based on what this one changed.
+// propose submits the commands and waits until all are decided, so that the next
+// round starts from their result.
 func (d *plannerDuty) propose(commands []*jaywire.Command) {
 	for _, c := range commands {
-		d.entry.store.stamp(c)
+		d.entry.store.fillDefaults(c)
 		c.Actor = "planner " + d.entry.options.Entry
 		if err := d.entry.store.committer.Submit(c.Id, c); err != nil {
-			d.entry.logger.Info("plan not appended", "error", err.Error())
+			d.entry.logger.Info("planner command not submitted", "error", err.Error())
 			return
 		}
 	}
 	if len(commands) == 0 {
 		return
 	}
-	// The renewal stands behind the commands in the stream: once it is
-	// decided, so are they.
-	if !d.take(time.Now()) {
-		// Stale plans must not pile up during an outage and burst out after
-		// it; the next round plans afresh.
+	// The lease renewal follows the commands in the stream, so they are decided
+	// once it is.
+	if !d.takeLease(time.Now()) {
+		// Outdated commands must not accumulate during an outage and be appended
+		// all at once after it. The next round plans again.
 		for _, c := range commands {
 			d.entry.store.committer.Forget(c.Id)
 		}
@@ -123,10 +125,11 @@
 	}
 }
 
-// lease reports whether this entry plans now. Correctness does not rest on
-// it: the fold judges each command, whoever proposes it. The holder counts its
-// term from before it asked, the others from when they saw it.
-func (d *plannerDuty) lease() bool {
+// ensureLease reports whether this entry may plan now, and takes or renews the
+// lease if needed. Correctness does not depend on the lease, because the state
+// machine checks each command regardless of its proposer. The holder counts the
+// term from before its request, the others from when they saw it.
+func (d *plannerDuty) ensureLease() bool {
 	term := time.Duration(d.entry.options.PlannerTerm)
 	now := time.Now()
 	holder := d.observe(now)
@@ -137,13 +140,13 @@
 		if now.Sub(d.heldFrom) < term/2 && d.holding {
 			return true
 		}
-		return d.take(now)
+		return d.takeLease(now)
 	}
 	d.holding = false
 	if holder != "" && now.Sub(d.seenAt) < term {
 		return false
 	}
-	return d.take(now)
+	return d.takeLease(now)
 }
 
 func (d *plannerDuty) observe(now time.Time) string {
@@ -155,7 +158,7 @@
 	return planner.Entry
 }
 
-func (d *plannerDuty) take(began time.Time) bool {
+func (d *plannerDuty) takeLease(began time.Time) bool {
 	outcome, err := d.entry.store.Propose(d.renewal(), proposeTimeout)
 	if err != nil || !outcome.Accepted() {
 		d.holding = false
@@ -166,7 +169,7 @@
 	return true
 }
 
-// removeEnded takes entries out of the members whose incarnation has ended.
+// removeEnded proposes the removal of members whose incarnation has ended.
 func (d *plannerDuty) removeEnded() {
 	for _, entry := range d.entry.members.Ended() {
 		_, err := d.entry.store.Propose(&jaywire.Command{
@@ -179,7 +182,7 @@
 	}
 }
 
-func (d *plannerDuty) dispatchActs(ctx context.Context) {
+func (d *plannerDuty) dispatchOrders(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -206,12 +209,12 @@
 		case <-ctx.Done():
 			return
 		case a := <-d.queue:
-			d.do(a)
+			d.execute(a)
 		}
 	}
 }
 
-func (d *plannerDuty) do(o jayplan.Order) {
+func (d *plannerDuty) execute(o jayplan.Order) {
 	err := d.entry.workers.Do(o.Instance, o.Fence, o.Order)
 	if err == nil || errors.Is(err, jayplatform.ErrRefused) {
 		return
--- a/jayentry/requests_test.go
+++ b/jayentry/requests_test.go
@@ -16,13 +16,13 @@
 	"jaythread/jayverdict"
 )
 
-// tries counts the requests that reached each upstream.
-type tries struct {
+// attemptCounter counts the requests that reached each upstream.
+type attemptCounter struct {
 	mu sync.Mutex
 	at map[string]int
 }
 
-func (c *tries) add(addr string) int {
+func (c *attemptCounter) add(addr string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.at == nil {
@@ -36,7 +36,7 @@
 	return sum
 }
 
-func (c *tries) sum() int {
+func (c *attemptCounter) sum() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := 0
@@ -50,13 +50,13 @@
 
 func TestRetries(t *testing.T) {
 	t.Run("an idempotent request is tried at another upstream", func(t *testing.T) {
-		inWorld(t, 1, func(w *world) {
+		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
 			for range 10 {
-				var seen tries
+				var seen attemptCounter
 				w.setUpstream(func(addr string, _ *http.Request, _ string, conn net.Conn) bool {
 					if seen.add(addr) == 1 {
-						return false // closed without an answer
+						return false // the connection is closed without an answer
 					}
 					respond(conn, 200, "second")
 					return true
@@ -67,13 +67,12 @@
 		})
 	})
 	t.Run("a payment that may have run is not", func(t *testing.T) {
-		// Symptom: a family pays twice.
-		// Sequence: the upstream runs the payment and fails before it
-		// answers; the entry tries another upstream.
-		// Cause: a lost answer taken for a lost request.
-		inWorld(t, 1, func(w *world) {
+		// Guards against a double payment: an upstream runs the payment and fails
+		// before it answers, and the entry retries at another upstream as if the
+		// request had been lost.
+		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
-			var seen tries
+			var seen attemptCounter
 			w.setUpstream(func(addr string, _ *http.Request, _ string, _ net.Conn) bool {
 				seen.add(addr)
 				return false
@@ -87,9 +86,9 @@
 		})
 	})
 	t.Run("a payment that an upstream refused by contract is", func(t *testing.T) {
-		inWorld(t, 1, func(w *world) {
+		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
-			var seen tries
+			var seen attemptCounter
 			w.setUpstream(func(addr string, _ *http.Request, _ string, conn net.Conn) bool {
 				if seen.add(addr) == 1 {
 					respond(conn, 503, "", refusal)
@@ -102,9 +101,9 @@
 		})
 	})
 	t.Run("they stay a small share when everything fails", func(t *testing.T) {
-		inWorld(t, 1, func(w *world) {
+		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
-			var seen tries
+			var seen attemptCounter
 			w.setUpstream(func(addr string, _ *http.Request, _ string, conn net.Conn) bool {
 				seen.add(addr)
 				return false
@@ -118,13 +117,12 @@
 }
 
 func TestRefusalAfterAnAttemptMayHaveRun(t *testing.T) {
-	// Symptom: a request that was refused as "not run" ran.
-	// Sequence: an upstream runs an idempotent request and is cut; the next
-	// ones refuse it as not run.
-	// Cause: the verdict of the last attempt was taken for that of all.
-	inWorld(t, 1, func(w *world) {
+	// Guards against a request that ran but was refused as not run: the first
+	// upstream runs it and loses the connection, the next ones refuse it, and the
+	// verdict of the last attempt is reported for all.
+	withCluster(t, 1, func(w *cluster) {
 		is := is.New(w.t)
-		var seen tries
+		var seen attemptCounter
 		w.setUpstream(func(addr string, _ *http.Request, _ string, conn net.Conn) bool {
 			if seen.add(addr) == 1 {
 				return false
@@ -138,17 +136,15 @@
 	})
 }
 
-func TestLateAnswerGoesToNobody(t *testing.T) {
-	// Symptom: a caller receives another caller's answer.
-	// Sequence: a request times out; its upstream answers later; another
-	// caller's request follows.
-	// Cause: connections or buffers of a request that was given up are used
-	// again.
-	inWorld(t, 1, func(w *world) {
+func TestLateAnswerIsDiscarded(t *testing.T) {
+	// Guards against a caller that receives another caller's answer: a request
+	// times out, its upstream answers later, and the connection or buffers of the
+	// abandoned request serve the next one.
+	withCluster(t, 1, func(w *cluster) {
 		is := is.New(w.t)
 		w.setUpstream(func(_ string, r *http.Request, _ string, conn net.Conn) bool {
 			if r.URL.Path == "/fees/slow" {
-				time.Sleep(7 * time.Second) // the timeout is 5 s
+				time.Sleep(7 * time.Second) // longer than the request timeout of 5 s
 			}
 			respond(conn, 200, "for "+r.URL.Path)
 			return true
@@ -168,15 +164,13 @@
 }
 
 func TestLeavingUpstream(t *testing.T) {
-	// Symptom: a leaving upstream gets new work for as long as the instance
-	// list lags.
-	// Sequence: an upstream refuses a request and closes; other entries have
-	// not heard of it.
-	// Cause: each entry learned only from the list.
+	// Guards against new requests to a leaving upstream for as long as the
+	// instance list lags: it refuses a request of one entry and closes the
+	// connection, and the other entries learn of it only from the list.
 	t.Run("all entries learn from the first refusal", func(t *testing.T) {
-		inWorld(t, 8, func(w *world) {
+		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
-			var seen tries
+			var seen attemptCounter
 			var leaving string
 			var mu sync.Mutex
 			w.setUpstream(func(addr string, _ *http.Request, _ string, conn net.Conn) bool {
@@ -203,7 +197,7 @@
 		})
 	})
 	t.Run("the list's word ends it, and gives it back", func(t *testing.T) {
-		inWorld(t, 2, func(w *world) {
+		withCluster(t, 2, func(w *cluster) {
 			is := is.New(w.t)
 			w.setWorker("fees-0", jayplatform.Leaving)
 			time.Sleep(2 * time.Second)
@@ -216,28 +210,27 @@
 }
 
 func TestUpstreamThatLeavesWhileAClaimWaits(t *testing.T) {
-	// Symptom: an instance that has left, or moved to another pool, gets one
-	// more payment.
-	// Sequence: a payment has its slot; its claim waits for a slow log; the
-	// instance leaves meanwhile.
-	// Cause: the choice of the upstream was not looked at again.
-	inWorld(t, 2, func(w *world) {
+	// Guards against a payment sent to an instance that has left or moved to
+	// another pool: the payment holds a slot there while its claim waits for a
+	// slow log, the instance leaves meanwhile, and the chosen upstream is not
+	// checked again.
+	withCluster(t, 2, func(w *cluster) {
 		is := is.New(w.t)
 		for n := 1; n < 4; n++ {
 			w.setWorker(fmt.Sprint("fees-", n), jayplatform.Leaving)
 		}
 		w.settle()
-		var seen tries
+		var seen attemptCounter
 		w.setUpstream(func(addr string, r *http.Request, _ string, conn net.Conn) bool {
 			seen.add(addr)
-			w.ran(r)
+			w.recordRun(r)
 			respond(conn, 200, "paid")
 			return true
 		})
 		w.log.SetFaults(jaystandin.LogFaults{Delay: 250 * time.Millisecond})
 		got := make(chan answer, 1)
 		go func() { got <- w.nodes[0].pay("k") }()
-		time.Sleep(100 * time.Millisecond) // the slot on fees-0 is taken
+		time.Sleep(100 * time.Millisecond) // the slot on fees-0 is acquired
 		w.nodes[0].entry.NoteLeaving("fees-0")
 		time.Sleep(time.Minute)
 		is.Equal((<-got).verdict, jayverdict.NotRun)
@@ -246,8 +239,8 @@
 	})
 }
 
-func TestHeadersOfOneConnectionStayThere(t *testing.T) {
-	inWorld(t, 1, func(w *world) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
+	withCluster(t, 1, func(w *cluster) {
 		is := is.New(w.t)
 		var got http.Header
 		w.setUpstream(func(_ string, r *http.Request, _ string, conn net.Conn) bool {
@@ -263,14 +256,14 @@
 	})
 }
 
-func TestRulesDecide(t *testing.T) {
-	inWorld(t, 1, func(w *world) {
+func TestRulesRefuseAndLimitRequests(t *testing.T) {
+	withCluster(t, 1, func(w *cluster) {
 		is := is.New(w.t)
 		rules := `"rules": [
     {"name": "closed", "about": "request", "when": {"path": ["/fees/closed"]}, "then": {"refuse": "closed until Monday"}},
     {"name": "slow", "about": "request", "when": {"path": ["/fees/limited"]}, "then": {"route": "fees", "callerRate": 2}},
     {"name": "read", "about": "request", "when": {"path": ["/fees/*"]}, "then": {"route": "fees", "idempotent": true}}]}`
-		w.publish(0, worldDocument[:strings.Index(worldDocument, `"rules"`)]+rules)
+		w.publish(0, clusterDocument[:strings.Index(clusterDocument, `"rules"`)]+rules)
 		w.settle()
 		got := w.nodes[0].send(http.MethodGet, "/fees/closed", "", "")
 		is.Equal(got.status, 403)
@@ -286,14 +279,14 @@
 	})
 }
 
-func TestLearnedClaimsHold(t *testing.T) {
-	// Symptom: a payment runs twice after an outage.
-	// Sequence: it runs while the log is down; an entry joins when the log is
-	// back; the old entries end before they could append the claim.
-	// Cause: an entry that starts reads the log alone.
-	inWorld(t, 3, func(w *world) {
+func TestClaimsLearnedFromPeersAreRespected(t *testing.T) {
+	// Guards against a payment that runs twice after an outage: it runs while the
+	// log is down, another entry joins once the log is back, and the old entries
+	// end before they append the claim. An entry that starts must not rely on the
+	// log alone.
+	withCluster(t, 3, func(w *cluster) {
 		is := is.New(w.t)
-		w.logDown()
+		w.takeLogDown()
 		is.Equal(w.nodes[0].pay("k").status, 200)
 		old := append([]*node(nil), w.nodes...)
 		for _, n := range old {
--- a/jayentry/router.go
+++ b/jayentry/router.go
@@ -20,11 +20,11 @@
 	"jaythread/jayupstream"
 )
 
-// listRing bounds the list changes that wait for the router; the watcher
-// waits while it is full.
-const listRing = 64
+// maxPendingChanges limits the queued changes of the instance list and the queued
+// leaving notices. The list watcher waits while the queue is full.
+const maxPendingChanges = 64
 
-// Router turns state and instance list into the view.
+// Router builds the routing view from the state and the instance list.
 type Router struct {
 	self     string
 	store    *Store
@@ -42,11 +42,11 @@
 	workers map[string]jayplatform.Instance
 	pools   map[string]*jayroute.Pool
 	poolOf  map[string]string
-	// leavingSince is when somebody said that an upstream leaves.
+	// leavingSince is when an upstream was reported as leaving, by its ID.
 	leavingSince map[string]time.Time
 }
 
-// NewRouter returns a router without a view.
+// NewRouter returns a Router that has no view yet.
 func NewRouter(self string, store *Store, members *Membership, upstream *jayupstream.Client, queueMax int, logger logr.Logger) *Router {
 	return &Router{
 		self:         self,
@@ -55,8 +55,8 @@
 		upstream:     upstream,
 		queueMax:     queueMax,
 		logger:       logger,
-		changes:      jayring.New[[]jayplatform.Instance](listRing),
-		leaving:      jayring.New[string](listRing),
+		changes:      jayring.New[[]jayplatform.Instance](maxPendingChanges),
+		leaving:      jayring.New[string](maxPendingChanges),
 		changed:      store.Notify(),
 		workers:      map[string]jayplatform.Instance{},
 		pools:        map[string]*jayroute.Pool{},
@@ -65,13 +65,13 @@
 	}
 }
 
-// View returns the view in force, or nil before the first.
+// View returns the current view, or nil before the first one is built.
 func (r *Router) View() *jayserve.View {
 	return r.view.Load()
 }
 
-// Offset returns how far the state behind the view was folded. Without a view
-// nothing is routed, and everything counts as seen.
+// Offset returns the state offset that the view is built from. Without a view it
+// returns the highest possible offset, since this entry routes nothing.
 func (r *Router) Offset() uint64 {
 	v := r.view.Load()
 	if v == nil {
@@ -80,10 +80,9 @@
 	return v.Offset
 }
 
-// FreshAt returns when the view was last known to be the newest. A view that is
-// behind the state is as old as when it was made, however lately the log was
-// read: an entry that wakes from a pause reads the log before it has made its
-// view anew.
+// FreshAt returns when the view was last known to be current. A view that is
+// behind the state is as old as its build time, however recently the log was read:
+// an entry that resumes after a pause reads the log before it rebuilds its view.
 func (r *Router) FreshAt() time.Time {
 	v := r.view.Load()
 	if v == nil {
@@ -96,7 +95,7 @@
 	return at
 }
 
-// Workers returns a copy of the instance list.
+// Workers returns a copy of the workers on the instance list, by ID.
 func (r *Router) Workers() map[string]jayplatform.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,14 +116,14 @@
 		case <-r.changes.Ready():
 		case <-r.leaving.Ready():
 		}
-		r.takeAll()
+		r.applyPending()
 		began := time.Now()
 		r.rebuild()
 		jayclock.Sleep(ctx, pace(time.Since(began), 0))
 	}
 }
 
-func (r *Router) takeAll() {
+func (r *Router) applyPending() {
 	for {
 		if _, ok := r.changed.Take(); !ok {
 			break
@@ -135,18 +134,18 @@
 		if !ok {
 			break
 		}
-		r.takeList(instances)
+		r.applyInstances(instances)
 	}
 	for {
 		upstream, ok := r.leaving.Take()
 		if !ok {
 			break
 		}
-		r.takeLeaving(upstream)
+		r.applyLeaving(upstream)
 	}
 }
 
-func (r *Router) takeList(instances []jayplatform.Instance) {
+func (r *Router) applyInstances(instances []jayplatform.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, i := range instances {
@@ -164,10 +163,9 @@
 	}
 }
 
-// takeLeaving stops new work on an upstream as soon as anybody has learned
-// that it leaves: from its own refusal, from a peer or from the list,
-// whichever is first.
-func (r *Router) takeLeaving(upstream string) {
+// applyLeaving stops new work on an upstream as soon as it is known to be leaving,
+// whether from its own refusal, from a peer or from the instance list.
+func (r *Router) applyLeaving(upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leavingSince[upstream] = time.Now()
@@ -176,9 +174,9 @@
 	}
 }
 
-// noticeKept is how long a notice outweighs a list that still shows the
-// upstream live; the list lags by less.
-const noticeKept = 10 * time.Second
+// leavingHoldTime is how long a leaving notice takes precedence over an instance
+// list that still shows the upstream as live. The list lags by less than this.
+const leavingHoldTime = 10 * time.Second
 
 func (r *Router) rebuild() {
 	r.mu.Lock()
@@ -189,7 +187,7 @@
 		Connections: map[string]int{},
 	}
 	_, next.FreshAt = r.store.Fresh()
-	r.store.Read(func(s *jaystate.State) { r.fill(next, s) })
+	r.store.Read(func(s *jaystate.State) { r.fillView(next, s) })
 	if next.Config == nil {
 		return
 	}
@@ -199,7 +197,7 @@
 	}
 }
 
-func (r *Router) fill(v *jayserve.View, s *jaystate.State) {
+func (r *Router) fillView(v *jayserve.View, s *jaystate.State) {
 	v.Config = s.Configuration()
 	v.Revision = s.Revision.Number
 	v.Offset = s.Offset
@@ -212,7 +210,7 @@
 	for _, id := range s.Fleet.IDs() {
 		i, _ := s.Fleet.Instance(id)
 		worker, listed := r.workers[id]
-		if !listed || !i.Available() || !r.takesWork(worker) {
+		if !listed || !i.Available() || !r.acceptsWork(worker) {
 			continue
 		}
 		pool, declared := v.Config.Pool(i.Pool)
@@ -244,16 +242,16 @@
 	v.Connections[name] = max(1, declared.Connections/max(1, members))
 }
 
-func (r *Router) takesWork(w jayplatform.Instance) bool {
+func (r *Router) acceptsWork(w jayplatform.Instance) bool {
 	if w.State != jayplatform.Live {
 		return false
 	}
 	since, leaving := r.leavingSince[w.ID]
-	return !leaving || time.Since(since) > noticeKept
+	return !leaving || time.Since(since) > leavingHoldTime
 }
 
-// memberIDs returns the members that share the slots. This entry counts even
-// before its joining is folded, or it would take all slots for itself.
+// memberIDs returns the members that share the slots. This entry is included even
+// before its join is applied; otherwise it would claim all slots.
 func (r *Router) memberIDs(s *jaystate.State) []string {
 	ids := make([]string, 0, len(s.Members)+1)
 	for _, m := range s.Members {
--- a/jayentry/snapshots.go
+++ b/jayentry/snapshots.go
@@ -6,8 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// appendSnapshots appends the snapshots that are due. The planner's entry
-// makes them, so that one stands in the log for the whole fleet.
+// appendSnapshots appends the snapshots that are due. Only the entry that holds
+// the planner lease creates them, so that one snapshot serves the whole fleet.
 func (e *Entry) appendSnapshots(ctx context.Context) {
 	for {
 		select {
--- a/jayentry/state_test.go
+++ b/jayentry/state_test.go
@@ -16,8 +16,9 @@
 	"jaythread/jaywire"
 )
 
-// inForceWithin waits in fake time until all live entries have a revision.
-func (w *world) inForceWithin(revision uint64, bound time.Duration) bool {
+// inForceWithin waits on the fake clock until all live entries use at least the
+// given revision. It reports whether they do so within the bound.
+func (w *cluster) inForceWithin(revision uint64, bound time.Duration) bool {
 	for waited := time.Duration(0); waited <= bound; waited += time.Millisecond {
 		all := true
 		for _, n := range w.live() {
@@ -32,36 +33,35 @@
 }
 
 func TestConfigurationIsInForceEverywhere(t *testing.T) {
-	inWorld(t, 8, func(w *world) {
+	withCluster(t, 8, func(w *cluster) {
 		is := is.New(w.t)
-		outcome := w.publish(3, worldDocument)
+		outcome := w.publish(3, clusterDocument)
 		is.NoErr(outcome.Err)
 		is.True(w.inForceWithin(outcome.Offset+1, 3*time.Second))
 	})
 }
 
 func TestLostAnswerOfAppend(t *testing.T) {
-	// Symptom: an operator is told that a change failed, tries again, and is
-	// refused by its own change.
-	// Sequence: the append takes effect; its answer is lost.
-	// Cause: an append without an answer was taken for one without effect.
-	inWorld(t, 3, func(w *world) {
+	// Guards against an operator who is told that a change failed, repeats it and
+	// is refused because of the first one: the append took effect, only its answer
+	// was lost.
+	withCluster(t, 3, func(w *cluster) {
 		is := is.New(w.t)
 		w.log.SetFaults(jaystandin.LogFaults{LoseAnswers: 3})
-		outcome := w.publish(0, worldDocument)
+		outcome := w.publish(0, clusterDocument)
 		is.NoErr(outcome.Err)
 		is.True(w.inForceWithin(outcome.Offset+1, 3*time.Second))
 	})
 }
 
-func TestOperatorsRaceThroughTheLog(t *testing.T) {
-	inWorld(t, 3, func(w *world) {
+func TestConcurrentPublishesConflict(t *testing.T) {
+	withCluster(t, 3, func(w *cluster) {
 		is := is.New(w.t)
 		replaces := w.nodes[0].revision()
 		outcomes := make(chan jaystate.Outcome, 2)
 		for _, n := range w.nodes[:2] {
 			go func() {
-				outcome, err := n.entry.Propose(publishCommand(replaces, worldDocument), 5*time.Second)
+				outcome, err := n.entry.Propose(publishCommand(replaces, clusterDocument), 5*time.Second)
 				is.NoErr(err)
 				outcomes <- outcome
 			}()
@@ -73,11 +73,9 @@
 }
 
 func TestLogDownForAnHour(t *testing.T) {
-	// Symptom: callers are refused while the platform's store is down, or a
-	// burst of old plans runs when it is back.
-	// Sequence: the log service is down for an hour and comes back.
-	// Cause: serving that depends on the log, and proposals that pile up.
-	inWorld(t, 3, func(w *world) {
+	// Guards against refused callers while the log service is down for an hour,
+	// and against a burst of outdated planner commands when it is back.
+	withCluster(t, 3, func(w *cluster) {
 		is := is.New(w.t)
 		w.log.SetFaults(jaystandin.LogFaults{Down: true})
 		before := w.log.Appends(StateStream)
@@ -90,17 +88,17 @@
 		}
 		w.log.SetFaults(jaystandin.LogFaults{})
 		w.settle()
-		is.True(w.log.Appends(StateStream)-before < 100) // no burst
-		outcome := w.publish(0, worldDocument)
+		is.True(w.log.Appends(StateStream)-before < 100) // no burst of planner commands
+		outcome := w.publish(0, clusterDocument)
 		is.True(w.inForceWithin(outcome.Offset+1, 3*time.Second))
 	})
 }
 
 func TestLogSlowByHundredTimes(t *testing.T) {
-	inWorld(t, 4, func(w *world) {
+	withCluster(t, 4, func(w *cluster) {
 		is := is.New(w.t)
 		w.log.SetFaults(jaystandin.LogFaults{Delay: 150 * time.Millisecond})
-		outcome := w.publish(1, worldDocument)
+		outcome := w.publish(1, clusterDocument)
 		is.NoErr(outcome.Err)
 		is.True(w.inForceWithin(outcome.Offset+1, 3*time.Second))
 		is.Equal(w.nodes[2].pay("slow").status, 200)
@@ -110,7 +108,7 @@
 
 func TestEntryThatStartsWhileTheLogIsDown(t *testing.T) {
 	t.Run("takes the state of a peer and serves", func(t *testing.T) {
-		inWorld(t, 3, func(w *world) {
+		withCluster(t, 3, func(w *cluster) {
 			is := is.New(w.t)
 			w.log.SetFaults(jaystandin.LogFaults{Down: true})
 			fresh := w.start()
@@ -120,7 +118,7 @@
 		})
 	})
 	t.Run("refuses as not run without a peer, and says why", func(t *testing.T) {
-		inWorld(t, 1, func(w *world) {
+		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
 			w.log.SetFaults(jaystandin.LogFaults{Down: true})
 			w.nodes[0].kill()
@@ -133,7 +131,7 @@
 		})
 	})
 	t.Run("refuses a damaged state", func(t *testing.T) {
-		inWorld(t, 2, func(w *world) {
+		withCluster(t, 2, func(w *cluster) {
 			is := is.New(w.t)
 			snapshot, err := w.nodes[0].entry.store.Snapshot()
 			is.NoErr(err)
@@ -146,12 +144,10 @@
 }
 
 func TestAllEntriesAreReplaced(t *testing.T) {
-	// Symptom: configuration, audit trail or a payment's claim is gone after
-	// a roll-out of the entries themselves.
-	// Sequence: eight entries are replaced one after another, then seven at
-	// once.
-	// Cause: something lived only in the entries.
-	inWorld(t, 8, func(w *world) {
+	// Guards against the loss of the configuration, the audit trail or a payment's
+	// claim when entries are replaced, first one after another and then seven at
+	// once. Nothing may be stored only in the entries.
+	withCluster(t, 8, func(w *cluster) {
 		is := is.New(w.t)
 		revision := w.nodes[0].revision()
 		is.Equal(w.nodes[0].pay("before").status, 200)
@@ -170,7 +166,7 @@
 			is.Equal(n.revision(), revision)
 			is.NoErr(n.entry.Ready())
 			got := n.pay("before")
-			is.Equal(got.verdict, jayverdict.MayHaveRun) // its answer went with the entries
+			is.Equal(got.verdict, jayverdict.MayHaveRun) // its stored answer was lost with the entries
 		}
 		is.Equal(w.runsOf("before"), 1)
 		is.Equal(w.live()[7].pay("after").status, 200)
@@ -187,24 +183,23 @@
 	})
 }
 
-func TestRetentionExpiresUnderAReader(t *testing.T) {
-	// Symptom: an entry that starts reads from an offset that is gone, and
-	// never gets ready; or it starts from an old snapshot and goes back.
-	// Sequence: records expire after a snapshot was appended; an entry starts.
-	// Cause: the log keeps records for a limited time.
-	inWorld(t, 3, func(w *world) {
+func TestEntryStartsAfterRecordsExpired(t *testing.T) {
+	// Guards against an entry that never becomes ready because it reads from an
+	// expired offset, or that rolls back to an old snapshot: records expire after
+	// a snapshot was appended, and then an entry starts.
+	withCluster(t, 3, func(w *cluster) {
 		is := is.New(w.t)
 		for n := range 3 {
-			is.NoErr(w.publish(n, worldDocument).Err)
+			is.NoErr(w.publish(n, clusterDocument).Err)
 			w.settle()
 		}
 		appendSnapshot(w, w.nodes[0].entry)
-		revision := w.publish(0, worldDocument).Offset + 1
+		revision := w.publish(0, clusterDocument).Offset + 1
 		w.settle()
 		var offset uint64
 		w.nodes[0].entry.Read(func(s *jaystate.State) { offset = s.Offset })
 		w.log.Expire(StateStream, offset-1)
-		// A damaged snapshot behind the good one must not be taken.
+		// A damaged snapshot after the intact one must be skipped.
 		_, err := w.log.Append(SnapshotStream, []byte("damaged"))
 		is.NoErr(err)
 		appendSnapshot(w, w.nodes[0].entry)
@@ -214,7 +209,7 @@
 	})
 }
 
-func appendSnapshot(w *world, e *Entry) {
+func appendSnapshot(w *cluster, e *Entry) {
 	w.t.Helper()
 	snapshot, err := e.store.Snapshot()
 	if err != nil {
@@ -229,12 +224,12 @@
 	}
 }
 
-func TestSnapshotThatIsBehindChangesNothing(t *testing.T) {
-	inWorld(t, 2, func(w *world) {
+func TestOlderSnapshotIsIgnored(t *testing.T) {
+	withCluster(t, 2, func(w *cluster) {
 		is := is.New(w.t)
 		old, err := w.nodes[0].entry.store.Snapshot()
 		is.NoErr(err)
-		revision := w.publish(0, worldDocument).Offset + 1
+		revision := w.publish(0, clusterDocument).Offset + 1
 		is.True(w.inForceWithin(revision, 3*time.Second))
 		adopted, err := w.nodes[1].entry.store.Adopt(old)
 		is.NoErr(err)
@@ -243,35 +238,35 @@
 	})
 }
 
-func TestEntryThatIsCutOff(t *testing.T) {
-	// Symptom: one entry routes to an instance that the others know has moved.
-	// Sequence: the entry is cut off; an instance drains and moves.
-	// Cause: a view that nobody confirms any more.
+func TestIsolatedEntry(t *testing.T) {
+	// Guards against an entry that routes to an instance which the other entries
+	// know has moved: the entry is isolated while the instance drains and moves,
+	// and no other entry confirms its view.
 	t.Run("from the log only, it follows its peers", func(t *testing.T) {
-		inWorld(t, 4, func(w *world) {
+		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.nodes[3].set(func(n *node) { n.cutLog = true })
 			time.Sleep(5 * time.Second)
-			revision := w.publish(0, worldDocument).Offset + 1
+			revision := w.publish(0, clusterDocument).Offset + 1
 			is.True(w.inForceWithin(revision, 3*time.Second))
 			is.Equal(w.nodes[3].read().status, 200)
 		})
 	})
 	t.Run("from its peers only, it follows the log", func(t *testing.T) {
-		inWorld(t, 4, func(w *world) {
+		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.nodes[3].set(func(n *node) { n.cutPeer = true })
 			time.Sleep(5 * time.Second)
-			revision := w.publish(0, worldDocument).Offset + 1
+			revision := w.publish(0, clusterDocument).Offset + 1
 			is.True(w.inForceWithin(revision, 3*time.Second))
 			is.Equal(w.nodes[3].read().status, 200)
 		})
 	})
 	t.Run("from both, it refuses as not run within the lease", func(t *testing.T) {
-		inWorld(t, 4, func(w *world) {
+		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.nodes[3].set(func(n *node) { n.cutLog, n.cutPeer = true, true })
-			time.Sleep(viewLease + 2*time.Second) // a read that waits ends first
+			time.Sleep(viewLease + 2*time.Second) // a read that is already waiting ends first
 			got := w.nodes[3].read()
 			is.Equal(got.status, 503)
 			is.Equal(got.verdict, jayverdict.NotRun)
@@ -283,18 +278,17 @@
 	})
 }
 
-func TestEntryThatWakesFromAPause(t *testing.T) {
-	// Symptom: a worker that has left gets a request ten seconds later (seen
-	// with a process that was stopped and continued in the middle of a wave).
-	// Sequence: an entry is paused; the others go on; it wakes, reads the log
-	// and hears its peers, and serves before its view is made anew.
-	// Cause: the log's freshness was taken for the view's.
+func TestEntryResumesAfterPause(t *testing.T) {
+	// Guards against a worker that gets a request ten seconds after it left, seen
+	// with a process that was stopped and continued in the middle of a wave: the
+	// entry resumes, reads the log and hears its peers, and serves before its view
+	// is rebuilt because the freshness of the log is taken for that of the view.
 	t.Run("the log was read, the view not made anew", func(t *testing.T) {
-		inWorld(t, 3, func(w *world) {
+		withCluster(t, 3, func(w *cluster) {
 			is := is.New(w.t)
 			e := w.nodes[0].entry
 			w.nodes[0].set(func(n *node) { n.cutPeer = true })
-			w.nodes[0].cancel() // its duties stand still
+			w.nodes[0].cancel() // stops its duties
 			time.Sleep(10 * time.Second)
 			is.True(!e.viewUsable())
 			next := jayplatform.Record{Offset: e.store.From(), Data: nil}
@@ -305,7 +299,7 @@
 		})
 	})
 	t.Run("peers are heard that are ahead", func(t *testing.T) {
-		inWorld(t, 3, func(w *world) {
+		withCluster(t, 3, func(w *cluster) {
 			is := is.New(w.t)
 			woken := w.nodes[2]
 			woken.set(func(n *node) { n.cutLog, n.cutPeer = true, true })
@@ -324,11 +318,11 @@
 }
 
 func TestDrainWaitsForAnEntryThatMayStillRoute(t *testing.T) {
-	// Symptom: an instance reboots with requests in flight.
-	// Sequence: one entry is cut off from the log but serves with a majority
-	// of peers; the planner reboots an instance that it still routes to.
-	// Cause: the planner took its own offset for everybody's.
-	inWorld(t, 4, func(w *world) {
+	// Guards against an instance that reboots with requests in flight: an entry
+	// without the log keeps serving with a majority of peers, and the planner
+	// reboots an instance that this entry still routes to because it only regards
+	// its own offset.
+	withCluster(t, 4, func(w *cluster) {
 		is := is.New(w.t)
 		acked := w.nodes[0].entry.members.Acked()
 		var offset uint64
@@ -336,14 +330,14 @@
 		is.Equal(acked, offset)
 		w.nodes[3].set(func(n *node) { n.cutLog, n.cutPeer = true, true })
 		time.Sleep(time.Second)
-		outcome := w.publish(0, worldDocument)
+		outcome := w.publish(0, clusterDocument)
 		time.Sleep(500 * time.Millisecond)
-		is.True(w.nodes[0].entry.members.Acked() <= outcome.Offset) // it may still route
+		is.True(w.nodes[0].entry.members.Acked() <= outcome.Offset) // the entry may still route by its old view
 		time.Sleep(3 * viewLease)
-		is.True(w.nodes[0].entry.members.Acked() > outcome.Offset) // its lease has lapsed
-		// A drain that comes now waits as well, though the entry has been
-		// silent for long: it may hear others, who have not folded it yet.
-		outcome = w.publish(0, worldDocument)
+		is.True(w.nodes[0].entry.members.Acked() > outcome.Offset) // its view lease has expired
+		// A later drain waits as well, although the entry has long been silent: it
+		// may hear other entries that have not applied the drain yet.
+		outcome = w.publish(0, clusterDocument)
 		time.Sleep(viewLease)
 		is.True(w.nodes[0].entry.members.Acked() <= outcome.Offset)
 		time.Sleep(2 * viewLease)
@@ -351,30 +345,28 @@
 	})
 }
 
-func TestDrainWaitsForTheViewNotTheFold(t *testing.T) {
-	// Symptom: an instance reboots with requests in flight.
-	// Sequence: an entry has folded a drain, but its view is rebuilt only
-	// half a second later, as its pace allows; the planner reboots.
-	// Cause: entries told each other what they had folded, not by what they
-	// route.
-	inWorld(t, 2, func(w *world) {
+func TestDrainWaitsForRebuiltView(t *testing.T) {
+	// Guards against an instance that reboots with requests in flight: an entry
+	// has applied a drain but rebuilds its view half a second later, as pace
+	// allows. Entries must report the offset they route by, not the one they have
+	// applied.
+	withCluster(t, 2, func(w *cluster) {
 		is := is.New(w.t)
 		slow := w.nodes[1].entry.members
 		behind := w.nodes[1].entry.router.Offset()
-		slow.routed = func() uint64 { return behind }
-		outcome := w.publish(0, worldDocument)
+		slow.routedOffset = func() uint64 { return behind }
+		outcome := w.publish(0, clusterDocument)
 		w.settle()
 		is.True(w.nodes[0].entry.members.Acked() <= outcome.Offset)
 		is.Equal(w.nodes[0].entry.members.Acked(), behind)
 	})
 }
 
-func TestMemberThatWasNeverHeard(t *testing.T) {
-	// Symptom: no wave and no move gets on after all entries were replaced.
-	// Sequence: an entry vanishes without a trace; all others are replaced;
-	// the new planner has never heard of it.
-	// Cause: only a member that was heard once could fall silent.
-	inWorld(t, 4, func(w *world) {
+func TestMemberNeverHeardFrom(t *testing.T) {
+	// Guards against waves and moves that make no progress after all entries were
+	// replaced: one entry vanished and the new planner has never heard from it, so
+	// the entry must count as silent without having been heard once.
+	withCluster(t, 4, func(w *cluster) {
 		is := is.New(w.t)
 		w.nodes[3].set(func(n *node) { n.cutLog, n.cutPeer = true, true })
 		for n := range 3 {
@@ -383,18 +375,17 @@
 			w.settle()
 		}
 		w.settle()
-		outcome := w.publish(5, worldDocument)
+		outcome := w.publish(5, clusterDocument)
 		time.Sleep(3 * viewLease)
 		is.True(w.nodes[5].entry.members.Acked() > outcome.Offset)
 	})
 }
 
-func TestTwoPlannersAndAPausedOne(t *testing.T) {
-	// Symptom: a step is taken twice, or the fleet has no planner.
-	// Sequence: the planner is cut off for longer than its term and comes
-	// back; in between another one plans.
-	// Cause: a lease that correctness rests on.
-	inWorld(t, 4, func(w *world) {
+func TestPlannerLeaseAfterIsolation(t *testing.T) {
+	// Guards against a step that is taken twice, and against a fleet without a
+	// planner: the planner is isolated for longer than its lease term and returns
+	// while another entry plans. Correctness must not depend on the lease.
+	withCluster(t, 4, func(w *cluster) {
 		is := is.New(w.t)
 		planner := func() string {
 			var name string
@@ -420,7 +411,7 @@
 		is.True(now != first)
 		holder.set(func(n *node) { n.cutLog, n.cutPeer = false, false })
 		w.settle()
-		is.Equal(planner(), now) // the old holder has read on and left it
+		is.Equal(planner(), now) // the former holder has read the log and accepts the new one
 		waves := startWaveCommand("w")
 		outcome, err := w.nodes[0].entry.Propose(waves, 5*time.Second)
 		is.NoErr(err)
--- a/jayentry/stop.go
+++ b/jayentry/stop.go
@@ -8,9 +8,9 @@
 	"jaythread/jaywire"
 )
 
-// Stop ends the entry gracefully: it stops being ready, answers what is in
-// flight, hands over what it holds and leaves the members. It takes at most
-// the settings' stopBound.
+// Stop shuts the entry down gracefully: it reports itself as not ready, answers
+// the requests in flight, flushes its claims and leaves the members. It takes at
+// most the stopBound setting.
 func (e *Entry) Stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.options.StopBound))
 	defer cancel()
@@ -19,7 +19,7 @@
 	e.logger.Info("stopping", "inFlight", e.edge.InFlight())
 	e.edge.Drain(ctx, time.Duration(e.options.StopGrace))
 	cut := e.edge.Stop(ctx)
-	e.handOver(ctx)
+	e.flushAndLeave(ctx)
 	e.close()
 	if cut != nil {
 		return cut
@@ -28,13 +28,15 @@
 	return nil
 }
 
-// handOver waits until the claims of this entry stand in the log, and leaves.
-func (e *Entry) handOver(ctx context.Context) {
+// flushAndLeave waits until the claims of this entry are appended, and then
+// proposes to leave the members.
+func (e *Entry) flushAndLeave(ctx context.Context) {
 	for e.claimLog.committer.Pending() > 0 && e.claimsFresh() && ctx.Err() == nil {
 		jayclock.Sleep(ctx, 10*time.Millisecond)
 	}
 	if e.stateFollower.Age() > viewLease {
-		// The log is down; the others learn from the closed peer port.
+		// The log is down. The other entries detect the end of this one by its
+		// closed peer port.
 		return
 	}
 	_, err := e.store.Propose(&jaywire.Command{
@@ -42,7 +44,7 @@
 		Body:   &jaywire.Command_LeaveEntry{LeaveEntry: &jaywire.LeaveEntry{Entry: e.options.Entry}},
 	}, proposeTimeout)
 	if err != nil {
-		e.logger.Info("left without notice", "error", err.Error())
+		e.logger.Info("leave not confirmed", "error", err.Error())
 	}
 }
 
@@ -54,7 +56,7 @@
 	e.duties.Wait()
 }
 
-// Kill ends the entry at once, as a failure does. It is for tests.
+// Kill ends the entry abruptly, like a crash. It is for tests.
 func (e *Entry) Kill() {
 	e.stopping.Store(true)
 	e.cancel()
--- a/jayentry/store.go
+++ b/jayentry/store.go
@@ -18,26 +18,28 @@
 	"jaythread/jaywire"
 )
 
-// The streams of the log service.
+// These are the streams of the log service.
 const (
 	StateStream    = "jaythread.state"
 	ClaimStream    = "jaythread.claims"
 	SnapshotStream = "jaythread.snapshots"
 )
 
-// stateAppendsPerSecond is one entry's share of the log service's appends for
-// the state stream.
+// stateAppendsPerSecond limits the rate at which one entry appends to the state
+// stream, as its share of the log service's capacity.
 const stateAppendsPerSecond = 20
 
-// Store holds the folded state of one entry and proposes commands to it.
+// Store holds one entry's copy of the replicated state and proposes commands to
+// it.
 type Store struct {
 	actor     string
 	log       jayplatform.Log
 	logger    logr.Logger
 	committer *jaylog.Committer[*jaywire.Command, jaystate.Outcome]
-	// fresh is read for each request and must not wait for a planner's round.
+	// fresh is read for each request, without the lock, so that requests do not
+	// wait for a planning round.
 	fresh atomic.Pointer[freshness]
-	// changed tells the duties that follow the state.
+	// changed holds the rings that notify duties of a new offset.
 	changed []*jayring.Ring[uint64]
 
 	mu            sync.Mutex
@@ -48,14 +50,14 @@
 	snapshotDue   *jayring.Ring[*jaywire.Snapshot]
 }
 
-// freshness says how far the state is, and when the read began that found
-// nothing beyond it.
+// freshness is the offset of the state and the start time of the last read that
+// found no later record.
 type freshness struct {
 	offset uint64
 	at     time.Time
 }
 
-// NewStore returns a store with an empty state.
+// NewStore returns a Store with an empty state.
 func NewStore(actor string, log jayplatform.Log, snapshotEvery int, logger logr.Logger) *Store {
 	return &Store{
 		actor:         actor,
@@ -81,10 +83,10 @@
 	return ring
 }
 
-// Propose appends a command and waits for the fold's decision. An error means
-// that the decision is not known.
+// Propose appends a command and waits for the state machine's decision. An error
+// means that the decision is not known.
 func (s *Store) Propose(c *jaywire.Command, timeout time.Duration) (jaystate.Outcome, error) {
-	s.stamp(c)
+	s.fillDefaults(c)
 	outcome, err := s.committer.Commit(c.Id, c, timeout)
 	if err != nil {
 		return jaystate.Outcome{}, fmt.Errorf("propose: %w", err)
@@ -92,7 +94,7 @@
 	return outcome, nil
 }
 
-func (s *Store) stamp(c *jaywire.Command) {
+func (s *Store) fillDefaults(c *jaywire.Command) {
 	if c.Id == "" {
 		c.Id = uuid.NewString()
 	}
@@ -111,15 +113,15 @@
 	visit(s.state)
 }
 
-// From is the offset to fold next.
+// From returns the offset of the next record to apply.
 func (s *Store) From() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Offset
 }
 
-// Fresh returns the state's offset and since when nothing newer than it was
-// known to stand in the log.
+// Fresh returns the state's offset and the time at which the log was last known to
+// contain nothing newer.
 func (s *Store) Fresh() (offset uint64, at time.Time) {
 	f := s.fresh.Load()
 	if f == nil {
@@ -128,33 +130,34 @@
 	return f.offset, f.at
 }
 
-// CaughtUp reports whether the store has once reached the stream's end, or
-// has a peer's state.
+// CaughtUp reports whether the store has reached the end of the stream at least
+// once, or has adopted a peer's state.
 func (s *Store) CaughtUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.caughtUp
 }
 
-// Take folds a page of the state stream.
+// Take applies a page of the state stream.
 func (s *Store) Take(page jayplatform.Page, readBegan time.Time, caughtUp bool) {
 	s.mu.Lock()
 	var outcomes []jaystate.Outcome
 	for _, record := range page.Records {
 		decided, err := s.state.Apply(record.Offset, record.Data)
 		if err != nil {
-			s.logger.Info("record passed over", "error", err.Error())
+			s.logger.Info("skipping unreadable state record", "error", err.Error())
 		}
 		outcomes = append(outcomes, decided...)
 	}
 	s.caughtUp = s.caughtUp || caughtUp
-	s.noteFresh(caughtUp, readBegan)
+	s.updateFreshness(caughtUp, readBegan)
 	s.sinceSnapshot += len(page.Records)
 	s.snapshotIfDue()
 	offset := s.state.Offset
 	s.mu.Unlock()
 	for _, o := range outcomes {
-		// A repeat of a command that was decided before is not its outcome.
+		// A duplicate's result must not replace the outcome of the command's first
+		// occurrence.
 		if !errors.Is(o.Err, jaystate.ErrDuplicate) {
 			s.committer.Observe(o.ID, o)
 		}
@@ -162,12 +165,12 @@
 	if caughtUp {
 		s.committer.CaughtUp(readBegan)
 	}
-	s.announce(offset)
+	s.notifyAll(offset)
 }
 
-// noteFresh publishes the state's offset, and the time if the state is the
-// newest. The caller holds the lock.
-func (s *Store) noteFresh(newest bool, at time.Time) {
+// updateFreshness publishes the state's offset, and the given time if the state is
+// current. The caller holds the lock.
+func (s *Store) updateFreshness(newest bool, at time.Time) {
 	next := &freshness{offset: s.state.Offset}
 	if before := s.fresh.Load(); before != nil {
 		next.at = before.at
@@ -178,21 +181,23 @@
 	s.fresh.Store(next)
 }
 
-func (s *Store) announce(offset uint64) {
+func (s *Store) notifyAll(offset uint64) {
 	for _, ring := range s.changed {
 		ring.Push(offset)
 	}
 }
 
-// Expired loads a snapshot, since the records to fold next are gone.
+// Expired loads a snapshot, because the next records to apply have expired from
+// the log.
 func (s *Store) Expired(first uint64) {
-	s.logger.Info("records have expired; loading a snapshot", "first", first)
+	s.logger.Info("log records have expired; loading a snapshot", "first", first)
 	if err := s.LoadFromLog(); err != nil {
-		s.logger.Info("no snapshot loaded", "error", err.Error())
+		s.logger.Info("snapshot not loaded", "error", err.Error())
 	}
 }
 
-// snapshotIfDue hands a snapshot to its duty; the planner's entry appends it.
+// snapshotIfDue hands a snapshot to the snapshot duty if this entry holds the
+// planner lease and enough records were applied since the last one.
 func (s *Store) snapshotIfDue() {
 	if s.sinceSnapshot < s.snapshotEvery || s.state.Planner.Entry != s.actor {
 		return
@@ -206,8 +211,8 @@
 	s.snapshotDue.Push(snapshot)
 }
 
-// Adopt replaces the state by a snapshot that is further on. A snapshot that
-// is behind changes nothing: a revision that was in force never goes back.
+// Adopt replaces the state with a snapshot that is ahead of it. An older snapshot
+// is ignored, so that a configuration revision in force is never rolled back.
 func (s *Store) Adopt(snapshot *jaywire.Snapshot) (bool, error) {
 	s.mu.Lock()
 	if snapshot.GetOffset() <= s.state.Offset {
@@ -222,14 +227,14 @@
 	s.state = loaded
 	s.caughtUp = true
 	s.sinceSnapshot = 0
-	s.noteFresh(false, time.Time{})
+	s.updateFreshness(false, time.Time{})
 	offset := loaded.Offset
 	s.mu.Unlock()
-	s.announce(offset)
+	s.notifyAll(offset)
 	return true, nil
 }
 
-// Snapshot returns the state for a peer.
+// Snapshot returns a snapshot of the state for a peer.
 func (s *Store) Snapshot() (*jaywire.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,9 +244,9 @@
 	return s.state.Snapshot()
 }
 
-var errNoState = errors.New("no state yet")
+var errNoState = errors.New("state is not loaded yet")
 
-// LoadFromLog adopts the newest snapshot of the log that is whole.
+// LoadFromLog adopts the newest intact snapshot in the log.
 func (s *Store) LoadFromLog() error {
 	from := uint64(0)
 	var newest *jaywire.Snapshot
@@ -258,11 +263,11 @@
 			from = record.Offset + 1
 			snapshot := &jaywire.Snapshot{}
 			if err := proto.Unmarshal(record.Data, snapshot); err != nil {
-				s.logger.Info("snapshot passed over", "offset", record.Offset, "error", err.Error())
+				s.logger.Info("skipping unreadable snapshot", "offset", record.Offset, "error", err.Error())
 				continue
 			}
 			if _, err := jaystate.Load(snapshot); err != nil {
-				s.logger.Info("snapshot passed over", "offset", record.Offset, "error", err.Error())
+				s.logger.Info("skipping unreadable snapshot", "offset", record.Offset, "error", err.Error())
 				continue
 			}
 			newest = snapshot
--- a/jayentry/watch.go
+++ b/jayentry/watch.go
@@ -13,11 +13,11 @@
 const (
 	// listWait is how long one read of the instance list waits for a change.
 	listWait = time.Second
-	// watchPause is waited after a failed read.
-	watchPause = 200 * time.Millisecond
+	// readRetryDelay is the delay before a failed read is repeated.
+	readRetryDelay = 200 * time.Millisecond
 )
 
-// watchList reads the instance list by its changes.
+// watchList reads the changes of the instance list until the context ends.
 func (e *Entry) watchList(ctx context.Context) {
 	version := uint64(0)
 	failing := false
@@ -28,7 +28,7 @@
 				e.logger.Info("cannot read the instance list", "error", err.Error())
 			}
 			failing = true
-			jayclock.Sleep(ctx, watchPause)
+			jayclock.Sleep(ctx, readRetryDelay)
 			continue
 		}
 		failing = false
@@ -39,10 +39,10 @@
 	}
 }
 
-// offerChanges waits while the router is behind: a change of the list that
-// was dropped would never come again.
+// offerChanges hands changes to the router and waits while its queue is full. A
+// dropped change would not be sent again.
 func (e *Entry) offerChanges(ctx context.Context, instances []jayplatform.Instance) {
-	e.noteEntries(instances)
+	e.markEndedEntries(instances)
 	for !e.router.changes.Offer(instances) {
 		if ctx.Err() != nil {
 			return
@@ -51,11 +51,11 @@
 	}
 }
 
-// noteEntries learns from the list which entries have ended.
-func (e *Entry) noteEntries(instances []jayplatform.Instance) {
+// markEndedEntries marks the entries that the list shows as gone.
+func (e *Entry) markEndedEntries(instances []jayplatform.Instance) {
 	for _, i := range instances {
 		if i.Kind == jayplatform.Entry && i.State == jayplatform.Gone {
-			e.members.noteEnded(i.ID)
+			e.members.markEnded(i.ID)
 		}
 	}
 }
