--- a/jayclaim/capacity_test.go
+++ b/jayclaim/capacity_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// BenchmarkCapacityClaim is the time to fold a claim and the memory of a key.
+// BenchmarkCapacityClaim measures the time to apply a claim and the memory used
+// per key.
 func BenchmarkCapacityClaim(b *testing.B) {
 	const keys = 100_000
 	now := time.Unix(0, 0)
@@ -19,7 +20,7 @@
 		table = NewTable(time.Hour)
 		for n := range keys {
 			id := fmt.Sprintf("00000000-0000-0000-0000-%012d", n)
-			table.Fold(take(id, NewKey("caller", id), false), now)
+			table.Fold(newClaim(id, NewKey("caller", id), false), now)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/jayclaim/claimer.go
+++ b/jayclaim/claimer.go
@@ -12,30 +12,32 @@
 	"jaythread/jaywire"
 )
 
-// Peers are the other members, as the folded state has them.
+// Peers gives access to the other members in the replicated state.
 type Peers interface {
 	Others() []jaystate.Member
 	Ask(m jaystate.Member, request *jaywire.PeerRequest) (*jaywire.PeerResponse, error)
 }
 
-// Committer appends claims and tells whether one stands first in the log.
+// Committer appends claims to the log and reports whether a claim is the first one
+// for its key there.
 type Committer interface {
 	Commit(id string, claim *jaywire.Claim, timeout time.Duration) (first bool, err error)
 	Submit(id string, claim *jaywire.Claim) error
 	Forget(id string)
 }
 
-// Decision is what to do with a keyed request: Run or Replay.
+// Decision is the decision on a keyed request: Run or Replay.
 type Decision interface {
 	isDecision()
 }
 
-// Run means that this entry holds the key and runs the request.
+// Run means that this entry holds the key and must run the request.
 type Run struct {
 	Claim *jaywire.Claim
 }
 
-// Replay means that the request ran before; this is its answer.
+// Replay means that the request has run before and is answered with its stored
+// answer.
 type Replay struct {
 	Answer *Answer
 }
@@ -43,31 +45,33 @@
 func (Run) isDecision()    {}
 func (Replay) isDecision() {}
 
-// Options are the settings of a claimer.
+// Options are the settings of a Claimer.
 type Options struct {
 	// Window is how long a key is remembered.
 	Window time.Duration
-	// Copies is how many peers must hold a claim besides the log.
+	// Copies is the number of peers that must hold a claim in addition to the log.
 	Copies int
-	// LogTimeout is how long a claim waits for the log before it goes to all
-	// peers instead.
+	// LogTimeout limits how long a claim waits for the log. After it, the claim is
+	// sent to all peers instead.
 	LogTimeout time.Duration
-	// StoredBytes bounds an answer that is kept for a resend.
+	// StoredBytes is the largest body size of an answer that is stored for
+	// resends.
 	StoredBytes int
-	// LogAge returns how long ago the log was last read; nil means just now.
-	// While that is long, a claim does not wait for the log.
+	// LogAge returns the time since the log was last read; if it is nil, the log
+	// counts as just read. A claim does not wait for a log that was not read
+	// recently.
 	LogAge func() time.Duration
 }
 
-// logStale is the age from which the log is taken to be down.
+// logStale is the age of the last log read from which the log is considered down.
 const logStale = 2 * time.Second
 
 // Claimer decides which entry runs a keyed request.
 //
-// A claim is held by the log and by Copies peers before the request runs.
-// While the log is down it is held by every member that has not ended, and at
-// most Copies-1 members may have ended: then one of the holders of any earlier
-// claim is still among those that are asked, so a second run is always found.
+// Before a request runs, its claim is held by the log and by Copies peers. While
+// the log is down, the claim must be held by every member that has not ended, and
+// at most Copies-1 members may have ended. At least one holder of any earlier
+// claim is then among the members asked, so a second run is always detected.
 type Claimer struct {
 	self      string
 	options   Options
@@ -81,11 +85,11 @@
 	finished map[Key]chan struct{}
 	ready    bool
 	counters Counters
-	// suspected is when a claim last waited for the log in vain.
-	suspected time.Time
+	// logTimeoutAt is when a claim last waited for the log without success.
+	logTimeoutAt time.Time
 }
 
-// Counters count decisions.
+// Counters counts the decisions by kind.
 type Counters struct {
 	ByLog    uint64
 	ByPeers  uint64
@@ -93,8 +97,8 @@
 	Refused  uint64
 }
 
-// NewClaimer returns a claimer that is not ready: it grants and takes nothing
-// until SetReady.
+// NewClaimer returns a Claimer that is not ready: it refuses keyed requests and
+// the claims of peers until SetReady is called.
 func NewClaimer(self string, options Options, committer Committer, peers Peers, logger logr.Logger) *Claimer {
 	return &Claimer{
 		self:      self,
@@ -108,29 +112,31 @@
 	}
 }
 
-// SetReady tells that this entry knows all earlier claims. Before it, an
-// entry that has just started could grant a key that ran a minute ago.
+// SetReady declares that this entry knows all earlier claims. Without this step,
+// an entry that has just started could grant a key whose request ran shortly
+// before.
 func (c *Claimer) SetReady() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ready = true
 }
 
-// Ready reports whether keyed requests are taken.
+// Ready reports whether keyed requests are accepted.
 func (c *Claimer) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ready
 }
 
-// Counters returns the decisions so far.
+// Counters returns the numbers of decisions so far.
 func (c *Claimer) Counters() Counters {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counters
 }
 
-// Take decides on a request. An error is of type *jayverdict.Error.
+// Take claims the key and decides on the request. A returned error is of type
+// *jayverdict.Error.
 func (c *Claimer) Take(key Key, fingerprint []byte, timeout time.Duration) (Decision, error) {
 	deadline := c.now().Add(timeout)
 	claim := &jaywire.Claim{
@@ -146,18 +152,18 @@
 		return nil, err
 	}
 	if holder == nil {
-		holder, err = c.spread(key, claim)
+		holder, err = c.replicate(key, claim)
 	}
 	if err != nil {
 		return nil, err
 	}
 	if holder != nil {
-		return c.existing(key, holder, fingerprint, deadline)
+		return c.answerResend(key, holder, fingerprint, deadline)
 	}
 	return Run{Claim: claim}, nil
 }
 
-// begin records the claim here, or returns the one that holds the key.
+// begin records the claim locally, or returns the claim that holds the key.
 func (c *Claimer) begin(key Key, claim *jaywire.Claim) (*jaywire.Claim, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,7 +181,7 @@
 	return nil, nil
 }
 
-// Release gives a key back whose request has not run and will not.
+// Release gives up the claim of a request that has not run and will not run.
 func (c *Claimer) Release(claim *jaywire.Claim) {
 	release := &jaywire.Claim{
 		Kind:       jaywire.ClaimKind_CLAIM_KIND_RELEASE,
@@ -188,7 +194,7 @@
 	c.mu.Lock()
 	c.table.Release(claim, c.now())
 	c.mu.Unlock()
-	c.end(Key(claim.Key))
+	c.markFinished(Key(claim.Key))
 	if err := c.committer.Submit("release "+claim.Id, release); err != nil {
 		c.logger.Info("release not appended", "error", err.Error())
 	}
@@ -197,7 +203,7 @@
 	}
 }
 
-// Finish stores the answer of a request that ran, here and at the peers that
+// Finish stores the answer of a request that has run, here and at the peers that
 // hold its copies.
 func (c *Claimer) Finish(claim *jaywire.Claim, a *Answer) {
 	key := Key(claim.Key)
@@ -207,11 +213,12 @@
 		c.mu.Unlock()
 		c.storeAtCopies(key, a)
 	}
-	c.end(key)
+	c.markFinished(key)
 }
 
-// storeAtCopies does not wait: the caller has its answer, and a resend that
-// comes before the copy finds it here.
+// storeAtCopies sends the answer to the peers without waiting. The caller already
+// has its answer, and a resend that arrives before the copies do is answered from
+// this entry.
 func (c *Claimer) storeAtCopies(key Key, a *Answer) {
 	request := &jaywire.StoredAnswer{
 		Key: key[:], Found: true, Status: int32(a.Status), ContentType: a.ContentType, Body: a.Body,
@@ -229,7 +236,7 @@
 	}
 }
 
-func (c *Claimer) end(key Key) {
+func (c *Claimer) markFinished(key Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.SetRunning(key, false)
--- a/jayclaim/claimer_test.go
+++ b/jayclaim/claimer_test.go
@@ -13,38 +13,38 @@
 	"jaythread/jaywire"
 )
 
-// alone is a committer and peers of an entry without peers or log.
-type alone struct{}
+// isolated implements Committer and Peers for an entry without a log and without
+// peers.
+type isolated struct{}
 
 var errNoLog = errors.New("no log")
 
-func (alone) Commit(string, *jaywire.Claim, time.Duration) (bool, error) { return false, errNoLog }
-func (alone) Submit(string, *jaywire.Claim) error                        { return nil }
-func (alone) Forget(string)                                              {}
-func (alone) Others() []jaystate.Member                                  { return nil }
-func (alone) Ask(jaystate.Member, *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
+func (isolated) Commit(string, *jaywire.Claim, time.Duration) (bool, error) { return false, errNoLog }
+func (isolated) Submit(string, *jaywire.Claim) error                        { return nil }
+func (isolated) Forget(string)                                              {}
+func (isolated) Others() []jaystate.Member                                  { return nil }
+func (isolated) Ask(jaystate.Member, *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
 	return nil, errNoLog
 }
 
-func newAlone() *Claimer {
-	return NewClaimer("a", Options{Window: time.Minute, Copies: 3, StoredBytes: 10}, alone{}, alone{}, logr.Discard())
+func newIsolated() *Claimer {
+	return NewClaimer("a", Options{Window: time.Minute, Copies: 3, StoredBytes: 10}, isolated{}, isolated{}, logr.Discard())
 }
 
-func take(id string, key Key, ahead bool) *jaywire.Claim {
+func newClaim(id string, key Key, ahead bool) *jaywire.Claim {
 	return &jaywire.Claim{Kind: jaywire.ClaimKind_CLAIM_KIND_TAKE, Key: key[:], Id: id, Entry: id, Ahead: ahead}
 }
 
-func TestEntryThatIsNotReady(t *testing.T) {
-	// Symptom: a payment runs twice after an entry was replaced.
-	// Sequence: an entry starts and takes a payment before it has read the
-	// earlier claims.
-	// Cause: an empty table looks like "never seen".
+func TestUnreadyEntryRefusesClaims(t *testing.T) {
+	// Guards against a payment that runs twice after an entry was replaced: the
+	// new entry takes the payment before it has read the earlier claims, and its
+	// empty table looks as if the key had never been used.
 	is := is.New(t)
-	c := newAlone()
+	c := newIsolated()
 	key := NewKey("caller", "k")
 	_, err := c.Take(key, nil, time.Second)
 	is.Equal(jayverdict.Of(err), jayverdict.NotRun)
-	is.Equal(c.HandleClaim(take("b", key, true)).Outcome, jaywire.ClaimOutcome_CLAIM_OUTCOME_UNREADY)
+	is.Equal(c.HandleClaim(newClaim("b", key, true)).Outcome, jaywire.ClaimOutcome_CLAIM_OUTCOME_UNREADY)
 	c.SetReady()
 	_, err = c.Take(key, nil, time.Second)
 	is.NoErr(err)
@@ -56,49 +56,48 @@
 	t.Run("an undecided claim gives way to one that is ahead", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
-		mine := take("a", key, false)
+		mine := newClaim("a", key, false)
 		table.Begin(mine, now)
-		_, granted := table.Grant(take("b", key, false), now)
+		_, granted := table.Grant(newClaim("b", key, false), now)
 		is.True(!granted)
-		_, granted = table.Grant(take("b", key, true), now)
+		_, granted = table.Grant(newClaim("b", key, true), now)
 		is.True(granted)
 		is.True(!table.Decide(mine))
 	})
 	t.Run("a decided claim gives way to none", func(t *testing.T) {
-		// Symptom: a payment runs twice.
-		// Sequence: an entry runs it under a claim that all peers granted;
-		// another entry's claim comes to stand first in the log.
-		// Cause: the running claim was taken for one that may give way.
+		// Guards against a payment that runs twice: an entry runs it under a claim
+		// that all peers granted, another entry's claim becomes the first in the
+		// log, and the running claim is withdrawn as if it were still undecided.
 		is := is.New(t)
 		table := NewTable(time.Minute)
-		mine := take("a", key, false)
+		mine := newClaim("a", key, false)
 		table.Begin(mine, now)
 		is.True(table.Decide(mine))
-		holder, granted := table.Grant(take("b", key, true), now)
+		holder, granted := table.Grant(newClaim("b", key, true), now)
 		is.True(!granted)
 		is.Equal(holder.Id, "a")
 	})
 	t.Run("the first of the log holds the key", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
-		is.True(table.Fold(take("a", key, false), now))
-		is.True(!table.Fold(take("b", key, false), now))
+		is.True(table.Fold(newClaim("a", key, false), now))
+		is.True(!table.Fold(newClaim("b", key, false), now))
 		holder, _ := table.Holder(key)
 		is.Equal(holder.Id, "a")
 	})
 	t.Run("a released claim that comes late holds nothing", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
-		table.Release(take("a", key, false), now)
-		table.Grant(take("a", key, false), now)
-		is.True(!table.Fold(take("a", key, false), now))
+		table.Release(newClaim("a", key, false), now)
+		table.Grant(newClaim("a", key, false), now)
+		is.True(!table.Fold(newClaim("a", key, false), now))
 		_, held := table.Holder(key)
 		is.True(!held)
 	})
 	t.Run("keys expire after the window", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
-		table.Fold(take("a", key, false), now)
+		table.Fold(newClaim("a", key, false), now)
 		table.Expire(now.Add(time.Minute))
 		is.Equal(table.Len(), 1)
 		table.Expire(now.Add(time.Minute + 1))
--- a/jayclaim/peer.go
+++ b/jayclaim/peer.go
@@ -4,7 +4,7 @@
 	"jaythread/jaywire"
 )
 
-// HandleClaim answers a peer that asks this entry to hold or release a claim.
+// HandleClaim answers a peer's request to hold or release a claim.
 func (c *Claimer) HandleClaim(claim *jaywire.Claim) *jaywire.ClaimAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,7 +27,7 @@
 	return &jaywire.ClaimAnswer{Outcome: jaywire.ClaimOutcome_CLAIM_OUTCOME_GRANTED}
 }
 
-// HandleFetch answers a peer that asks for a stored answer.
+// HandleFetch answers a peer's request for a stored answer.
 func (c *Claimer) HandleFetch(f *jaywire.FetchAnswer) *jaywire.StoredAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// HandleStore keeps a copy of a peer's answer.
+// HandleStore stores a copy of an answer for a peer.
 func (c *Claimer) HandleStore(s *jaywire.StoreAnswer) {
 	stored := s.GetAnswer()
 	if len(stored.GetKey()) != len(Key{}) {
@@ -57,15 +57,14 @@
 	}, c.now())
 }
 
-// HandleFetchClaims answers a peer that has just started.
+// HandleFetchClaims returns all known claims to a peer that has just started.
 func (c *Claimer) HandleFetchClaims() *jaywire.ClaimBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &jaywire.ClaimBatch{Claims: c.table.Claims()}
 }
 
-// Learn records the claims of a peer or of the log before this entry is
-// ready.
+// Learn records claims from a peer or the log before this entry is ready.
 func (c *Claimer) Learn(claims []*jaywire.Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,14 +76,15 @@
 	}
 }
 
-// Fold records a claim of the log and reports whether it stands first.
+// Fold records a claim read from the log and reports whether it is the first one
+// for its key there.
 func (c *Claimer) Fold(claim *jaywire.Claim) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Fold(claim, c.now())
 }
 
-// Keys returns how many keys are remembered.
+// Keys returns the number of remembered keys.
 func (c *Claimer) Keys() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/jayclaim/spread.go
+++ b/jayclaim/replicate.go
@@ -15,10 +15,10 @@
 	"jaythread/jaywire"
 )
 
-// spread makes the claim hold everywhere that it must. It returns the claim
-// of another entry that came first, or an error if this one cannot be made
-// safe; in both cases the claim is released.
-func (c *Claimer) spread(key Key, claim *jaywire.Claim) (*jaywire.Claim, error) {
+// replicate records the claim at the log and at the peers that must hold it. It
+// returns the claim of another entry that holds the key, or an error if the claim
+// cannot be made safe. In both cases the claim is released.
+func (c *Claimer) replicate(key Key, claim *jaywire.Claim) (*jaywire.Claim, error) {
 	first, err := c.commit(claim)
 	if err == nil && !first {
 		c.Release(claim)
@@ -32,11 +32,11 @@
 		holder, err = c.askAll(claim)
 	}
 	if !logged && holder == nil && err == nil {
-		// The log must come to hold the claim too, for entries that start
-		// after the outage.
-		err = c.submitLate(claim)
+		// The claim must also reach the log, for entries that start after the
+		// outage.
+		err = c.submitToLog(claim)
 	}
-	c.count(logged, err)
+	c.countDecision(logged, err)
 	if holder == nil && err == nil && c.decide(claim) {
 		return nil, nil
 	}
@@ -62,15 +62,15 @@
 	first, err = c.committer.Commit(claim.Id, claim, c.options.LogTimeout)
 	if err != nil {
 		c.mu.Lock()
-		c.suspected = c.now()
+		c.logTimeoutAt = c.now()
 		c.mu.Unlock()
 	}
 	return first, err
 }
 
-// logUsable reports whether to wait for the log. After one claim has waited in
-// vain the next ones do not, until the log was read again; each would hold an
-// upstream's slot for the whole timeout.
+// logUsable reports whether a claim should wait for the log. Once a claim has
+// waited without success, later claims do not wait until the log has been read
+// again; each would occupy an upstream's slot for the whole timeout.
 func (c *Claimer) logUsable() bool {
 	if c.options.LogAge == nil {
 		return true
@@ -78,17 +78,17 @@
 	age := c.options.LogAge()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return age < logStale && c.now().Add(-age).After(c.suspected)
+	return age < logStale && c.now().Add(-age).After(c.logTimeoutAt)
 }
 
-func (c *Claimer) submitLate(claim *jaywire.Claim) error {
+func (c *Claimer) submitToLog(claim *jaywire.Claim) error {
 	if err := c.committer.Submit(claim.Id, claim); err != nil {
 		return refuse(err)
 	}
 	return nil
 }
 
-func (c *Claimer) count(logged bool, err error) {
+func (c *Claimer) countDecision(logged bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -106,31 +106,31 @@
 	defer c.mu.Unlock()
 	holder, held := c.table.Holder(key)
 	if !held {
-		// The other claim was released in between.
+		// The other claim has been released in the meantime.
 		return nil, jayverdict.NewNotRun(503, "another entry gave the key back", time.Second)
 	}
 	return holder, nil
 }
 
-// grant is the answer of one peer.
-type grant struct {
+// grantReply is a peer's reply to a claim.
+type grantReply struct {
 	member  jaystate.Member
 	outcome jaywire.ClaimOutcome
 	holder  *jaywire.Claim
 	err     error
 }
 
-func (c *Claimer) askOne(m jaystate.Member, claim *jaywire.Claim) grant {
+func (c *Claimer) askOne(m jaystate.Member, claim *jaywire.Claim) grantReply {
 	response, err := c.peers.Ask(m, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_Claim{Claim: claim}})
 	if err != nil {
-		return grant{member: m, err: err}
+		return grantReply{member: m, err: err}
 	}
 	answer := response.GetClaimAnswer()
-	return grant{member: m, outcome: answer.GetOutcome(), holder: answer.GetHolder()}
+	return grantReply{member: m, outcome: answer.GetOutcome(), holder: answer.GetHolder()}
 }
 
-func (c *Claimer) askMany(members []jaystate.Member, claim *jaywire.Claim) []grant {
-	grants := make([]grant, len(members))
+func (c *Claimer) askMany(members []jaystate.Member, claim *jaywire.Claim) []grantReply {
+	grants := make([]grantReply, len(members))
 	var asked sync.WaitGroup
 	for n, m := range members {
 		asked.Go(func() { grants[n] = c.askOne(m, claim) })
@@ -141,10 +141,10 @@
 
 var errCopies = errors.New("too few peers hold the claim")
 
-// askCopies has peers hold a claim that stands first in the log, so that it is
-// known to them if the log goes down before they have read it.
+// askCopies makes peers hold a claim that is the first in the log, so that they
+// know it if the log goes down before they have read it.
 func (c *Claimer) askCopies(claim *jaywire.Claim) (*jaywire.Claim, error) {
-	claim = ahead(claim)
+	claim = withAhead(claim)
 	ranked := rank(c.peers.Others(), claim.Key)
 	need := min(c.options.Copies, len(ranked))
 	held, ended := 0, 0
@@ -169,11 +169,11 @@
 	return nil, nil
 }
 
-var errSilent = errors.New("a peer that may hold the key does not answer while the log is down")
+var errPeerSilent = errors.New("a peer that may hold the key does not answer while the log is down")
 
-// askAll asks every member while the log does not answer: first the one that
-// ranks first for the key, so that of several entries with the same payment
-// one gets ahead and the others stop there.
+// askAll asks every member to hold the claim while the log is down. It first asks
+// the member that ranks first for the key, so that of several entries with the
+// same payment one is granted the key and the others stop there.
 func (c *Claimer) askAll(claim *jaywire.Claim) (*jaywire.Claim, error) {
 	others := c.peers.Others()
 	if leader, ok := c.leader(others, claim); ok {
@@ -183,7 +183,7 @@
 	}
 	ended := 0
 	var failure error
-	for _, g := range c.askMany(others, ahead(claim)) {
+	for _, g := range c.askMany(others, withAhead(claim)) {
 		switch {
 		case g.outcome == jaywire.ClaimOutcome_CLAIM_OUTCOME_HELD:
 			return g.holder, nil
@@ -191,7 +191,7 @@
 		case errors.Is(g.err, jaypeer.ErrGone):
 			ended++
 		default:
-			failure = errSilent
+			failure = errPeerSilent
 		}
 	}
 	if ended >= max(1, c.options.Copies) {
@@ -203,14 +203,16 @@
 	return nil, nil
 }
 
-// leader returns the member that ranks first, unless it is this entry.
+// leader returns the member that ranks first for the claim's key, and whether that
+// is another entry.
 func (c *Claimer) leader(others []jaystate.Member, claim *jaywire.Claim) (jaystate.Member, bool) {
 	all := rank(append(others, jaystate.Member{Entry: c.self}), claim.Key)
 	return all[0], all[0].Entry != c.self
 }
 
-// ahead returns a copy of a claim that others' undecided claims give way to.
-func ahead(claim *jaywire.Claim) *jaywire.Claim {
+// withAhead returns a copy of the claim that takes precedence over undecided
+// claims.
+func withAhead(claim *jaywire.Claim) *jaywire.Claim {
 	first := proto.Clone(claim).(*jaywire.Claim)
 	first.Ahead = true
 	return first
@@ -222,7 +224,8 @@
 	return e
 }
 
-// rank orders members for a key, so that the same peers hold its copies.
+// rank orders the members by a hash of member and key, so that all entries choose
+// the same peers for the copies of a key.
 func rank(members []jaystate.Member, key []byte) []jaystate.Member {
 	ranked := slices.Clone(members)
 	score := func(m jaystate.Member) uint64 { return xxhash.Sum64String(m.Entry + "\x00" + string(key)) }
--- a/jayclaim/resend.go
+++ b/jayclaim/resend.go
@@ -9,12 +9,12 @@
 	"jaythread/jaywire"
 )
 
-// resendPoll is how often an entry asks another one for the answer of a
-// request that is still running there.
+// resendPoll is the interval at which an entry asks another one for the answer of
+// a request that is still running there.
 const resendPoll = 50 * time.Millisecond
 
-// Known answers a resend whose key is known here already, without a slot at
-// an upstream. It returns nil if the key is new.
+// Known answers a resend whose key this entry already knows, without taking a slot
+// at an upstream. It returns nil if the key is new.
 func (c *Claimer) Known(key Key, fingerprint []byte, timeout time.Duration) (Decision, error) {
 	c.mu.Lock()
 	holder, held := c.table.Holder(key)
@@ -22,19 +22,19 @@
 	if !held {
 		return nil, nil
 	}
-	return c.existing(key, holder, fingerprint, c.now().Add(timeout))
+	return c.answerResend(key, holder, fingerprint, c.now().Add(timeout))
 }
 
-// existing answers a resend: with the stored answer, after waiting for the
-// first run if it is under way, or with "may have run".
-func (c *Claimer) existing(key Key, holder *jaywire.Claim, fingerprint []byte, deadline time.Time) (Decision, error) {
+// answerResend answers a resend with the stored answer, after waiting for the
+// first run if it is still under way, or else with the verdict "may have run".
+func (c *Claimer) answerResend(key Key, holder *jaywire.Claim, fingerprint []byte, deadline time.Time) (Decision, error) {
 	if !bytes.Equal(holder.Fingerprint, fingerprint) {
 		return nil, jayverdict.NewNotRun(422, "this Idempotency-Key was used for another request", 0)
 	}
 	if answer := c.ownAnswer(key, deadline); answer != nil {
 		return c.replay(answer), nil
 	}
-	if c.gaveBack(key) {
+	if c.wasReleased(key) {
 		return nil, jayverdict.NewNotRun(503, "the first attempt did not run", time.Second)
 	}
 	if holder.Entry != c.self {
@@ -52,7 +52,8 @@
 	return Replay{Answer: a}
 }
 
-// ownAnswer returns the answer stored here, after a run that is under way.
+// ownAnswer returns the answer stored at this entry. It waits for a run that is
+// under way here until the deadline.
 func (c *Claimer) ownAnswer(key Key, deadline time.Time) *Answer {
 	c.mu.Lock()
 	done, running := c.finished[key]
@@ -72,14 +73,15 @@
 	return answer
 }
 
-func (c *Claimer) gaveBack(key Key) bool {
+func (c *Claimer) wasReleased(key Key) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, held := c.table.Holder(key)
 	return !held
 }
 
-// peerAnswer asks the entry that ran the request, then the others.
+// peerAnswer requests the answer from the entry that ran the request, and then
+// from the other members.
 func (c *Claimer) peerAnswer(key Key, entry string, deadline time.Time) *Answer {
 	others := rank(c.peers.Others(), key[:])
 	for _, m := range others {
--- a/jayclaim/table.go
+++ b/jayclaim/table.go
@@ -1,5 +1,5 @@
-// Package jayclaim makes non-idempotent requests run at most once over all
-// entry instances: an entry claims a request's key before it runs it.
+// Package jayclaim makes non-idempotent requests run at most once across all entry
+// instances: an entry claims the key of a request before it runs the request.
 package jayclaim
 
 import (
@@ -10,18 +10,18 @@
 	"jaythread/jaywire"
 )
 
-// Key identifies a request across entries: a hash of caller and
+// Key identifies a request across entries. It is a hash of the caller and its
 // Idempotency-Key.
 type Key [16]byte
 
-// NewKey returns the key of a caller's Idempotency-Key. The caller is part of
-// it, so that no caller gets another one's stored answer.
+// NewKey returns the key for a caller's Idempotency-Key. The caller is part of the
+// key, so that no caller receives the stored answer of another.
 func NewKey(caller, idempotencyKey string) Key {
 	sum := sha256.Sum256([]byte(caller + "\x00" + idempotencyKey))
 	return Key(sum[:16])
 }
 
-// Fingerprint returns a hash of what the request asks for.
+// Fingerprint returns a hash of the method, URI and body of a request.
 func Fingerprint(method, uri string, body []byte) []byte {
 	h := sha256.New()
 	h.Write([]byte(method + "\x00" + uri + "\x00"))
@@ -29,33 +29,33 @@
 	return h.Sum(nil)[:8]
 }
 
-// Answer is the stored answer of a request that ran.
+// Answer is the stored answer of a request that has run.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// slot is all that is known of one key.
-type slot struct {
+// keyState is everything known about one key.
+type keyState struct {
 	claims []*jaywire.Claim
-	// first is the claim that stands first in the log, if any does.
+	// first is the ID of the claim that is first in the log, or empty.
 	first    string
 	answer   *Answer
 	running  bool
 	released []string
-	// mine is this entry's own claim. Until it is decided, nothing runs under
-	// it, and it may give way.
-	mine    string
+	// own is the ID of this entry's own claim. Until it is decided, no request
+	// runs under it and it can be withdrawn.
+	own     string
 	decided bool
 }
 
-// Table is what one entry knows of claims. It is pure: the caller passes the
-// time and holds a lock.
+// Table holds the claims known to one entry. It has no clock and no lock: the
+// caller passes the time and synchronizes the calls.
 type Table struct {
-	window time.Duration
-	slots  map[Key]*slot
-	order  []expiry
+	window   time.Duration
+	keys     map[Key]*keyState
+	expiries []expiry
 }
 
 type expiry struct {
@@ -63,51 +63,52 @@
 	key Key
 }
 
-// NewTable returns an empty table that remembers a key for window.
+// NewTable returns an empty table that remembers each key for the given window.
 func NewTable(window time.Duration) *Table {
-	return &Table{window: window, slots: map[Key]*slot{}}
+	return &Table{window: window, keys: map[Key]*keyState{}}
 }
 
-// Len returns how many keys the table remembers.
+// Len returns the number of remembered keys.
 func (t *Table) Len() int {
-	return len(t.slots)
+	return len(t.keys)
 }
 
-// Begin records a claim of this entry itself.
+// Begin records a claim of this entry unless another one holds the key.
 func (t *Table) Begin(claim *jaywire.Claim, now time.Time) (holder *jaywire.Claim, granted bool) {
 	holder, granted = t.Grant(claim, now)
 	if granted {
-		s := t.at(Key(claim.Key), now)
-		s.mine, s.decided = claim.Id, false
+		s := t.keyState(Key(claim.Key), now)
+		s.own, s.decided = claim.Id, false
 	}
 	return holder, granted
 }
 
-// Decide makes this entry's own claim final: from now on it runs. It returns
-// false if the claim gave way meanwhile.
+// Decide makes this entry's own claim final, so that its request may run. It
+// returns false if the claim has been withdrawn in the meantime.
 func (t *Table) Decide(claim *jaywire.Claim) bool {
-	s, ok := t.slots[Key(claim.Key)]
-	if !ok || s.mine != claim.Id {
+	s, ok := t.keys[Key(claim.Key)]
+	if !ok || s.own != claim.Id {
 		return false
 	}
 	s.decided = true
 	return true
 }
 
-// Grant records a claim unless another one holds the key, which it returns.
+// Grant records a claim unless another one holds the key, and then returns that
+// one.
 //
-// A claim of this entry's own that is not decided gives way to one that is
-// ahead. Without this, entries that got the same payment at the same moment
-// would each hold a claim, refuse each other, and run it nowhere.
+// An undecided claim of this entry is withdrawn in favor of a claim that is marked
+// as ahead. Otherwise entries that receive the same payment at the same time would
+// each hold a claim, refuse the others, and none would run the payment.
 func (t *Table) Grant(claim *jaywire.Claim, now time.Time) (holder *jaywire.Claim, granted bool) {
-	s := t.at(Key(claim.Key), now)
+	s := t.keyState(Key(claim.Key), now)
 	if slices.Contains(s.released, claim.Id) {
-		// The claimant gave the claim back while this request was under
-		// way. Recording it now would block the key until the window ends.
+		// The claimant released the claim while this request was under way.
+		// Recording it now would block the key until the window ends.
 		return claim, false
 	}
-	if claim.Ahead && s.mine != claim.Id && !s.decided {
-		s.giveWay()
+	if claim.Ahead && s.own != claim.Id && !s.decided {
+		s.withdrawOwn()
 	}
 	for _, c := range s.claims {
 		if c.Id != claim.Id {
@@ -118,7 +119,8 @@
 	return nil, true
 }
 
-// Fold records a claim of the log. It reports whether the claim stands first.
+// Fold records a claim read from the log. It reports whether the claim is the
+// first one for its key there.
 func (t *Table) Fold(claim *jaywire.Claim, now time.Time) (first bool) {
 	if len(claim.Key) != len(Key{}) {
 		return false
@@ -127,7 +129,7 @@
 		t.Release(claim, now)
 		return false
 	}
-	s := t.at(Key(claim.Key), now)
+	s := t.keyState(Key(claim.Key), now)
 	if slices.Contains(s.released, claim.Id) {
 		return false
 	}
@@ -138,9 +140,9 @@
 	return s.first == claim.Id
 }
 
-// Release takes back a claim whose request has not run and will not.
+// Release removes the claim of a request that has not run and will not run.
 func (t *Table) Release(claim *jaywire.Claim, now time.Time) {
-	s := t.at(Key(claim.Key), now)
+	s := t.keyState(Key(claim.Key), now)
 	s.claims = slices.DeleteFunc(s.claims, func(c *jaywire.Claim) bool { return c.Id == claim.Id })
 	if s.first == claim.Id {
 		s.first = ""
@@ -150,10 +152,10 @@
 	}
 }
 
-// Holder returns the claim that holds a key: the first of the log, or else
-// the first that was granted here.
+// Holder returns the claim that holds a key: the first in the log, or else the
+// first that was granted here.
 func (t *Table) Holder(key Key) (*jaywire.Claim, bool) {
-	s, ok := t.slots[key]
+	s, ok := t.keys[key]
 	if !ok || len(s.claims) == 0 {
 		return nil, false
 	}
@@ -165,70 +167,70 @@
 	return s.claims[0], true
 }
 
-// SetRunning notes that this entry is running the request.
+// SetRunning records whether this entry is running the request of a key.
 func (t *Table) SetRunning(key Key, running bool) {
-	if s, ok := t.slots[key]; ok {
+	if s, ok := t.keys[key]; ok {
 		s.running = running
 	}
 }
 
-// Running reports whether this entry is running the request.
+// Running reports whether this entry is running the request of a key.
 func (t *Table) Running(key Key) bool {
-	s, ok := t.slots[key]
+	s, ok := t.keys[key]
 	return ok && s.running
 }
 
-// Store keeps the answer of a request that ran.
+// Store stores the answer of a request that has run.
 func (t *Table) Store(key Key, a *Answer, now time.Time) {
-	t.at(key, now).answer = a
+	t.keyState(key, now).answer = a
 }
 
-// Answer returns the stored answer.
+// Answer returns the stored answer of a key.
 func (t *Table) Answer(key Key) (*Answer, bool) {
-	s, ok := t.slots[key]
+	s, ok := t.keys[key]
 	if !ok || s.answer == nil {
 		return nil, false
 	}
 	return s.answer, true
 }
 
-// Claims returns all claims, for a peer that has just started.
+// Claims returns all known claims, for a peer that has just started.
 func (t *Table) Claims() []*jaywire.Claim {
 	var claims []*jaywire.Claim
-	for _, e := range t.order {
-		if s, ok := t.slots[e.key]; ok {
+	for _, e := range t.expiries {
+		if s, ok := t.keys[e.key]; ok {
 			claims = append(claims, s.claims...)
 		}
 	}
 	return claims
 }
 
-// Expire forgets the keys whose window has passed.
+// Expire removes the keys whose window has passed.
 func (t *Table) Expire(now time.Time) {
 	n := 0
-	for n < len(t.order) && now.Sub(t.order[n].at) > t.window {
-		delete(t.slots, t.order[n].key)
+	for n < len(t.expiries) && now.Sub(t.expiries[n].at) > t.window {
+		delete(t.keys, t.expiries[n].key)
 		n++
 	}
-	t.order = t.order[n:]
+	t.expiries = t.expiries[n:]
 }
 
-func (t *Table) at(key Key, now time.Time) *slot {
-	s, ok := t.slots[key]
+func (t *Table) keyState(key Key, now time.Time) *keyState {
+	s, ok := t.keys[key]
 	if !ok {
-		s = &slot{}
-		t.slots[key] = s
-		t.order = append(t.order, expiry{at: now, key: key})
+		s = &keyState{}
+		t.keys[key] = s
+		t.expiries = append(t.expiries, expiry{at: now, key: key})
 	}
 	return s
 }
 
-func (s *slot) giveWay() {
-	s.claims = slices.DeleteFunc(s.claims, func(c *jaywire.Claim) bool { return c.Id == s.mine })
-	s.mine = ""
+func (s *keyState) withdrawOwn() {
+	s.claims = slices.DeleteFunc(s.claims, func(c *jaywire.Claim) bool { return c.Id == s.own })
+	s.own = ""
 }
 
-func (s *slot) add(claim *jaywire.Claim) {
+func (s *keyState) add(claim *jaywire.Claim) {
 	for _, c := range s.claims {
 		if c.Id == claim.Id {
 			return
