--- a/jayroute/budget.go
+++ b/jayroute/budget.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// retryReserve lets a quiet entry retry at all.
+	// retryReserve is the number of retries available to an entry with little
+	// traffic.
 	retryReserve = 10
-	// maxAttempts bounds the attempts of a request that may have run.
+	// maxAttempts limits the attempts of a request that may have run.
 	maxAttempts = 3
-	// maxUnrunAttempts bounds those of one that has not: they cost little,
-	// and when a rack is lost several upstreams may refuse in a row.
+	// maxUnrunAttempts limits the attempts of a request that has not run. It is
+	// higher because such attempts cost little and several upstreams may refuse in
+	// a row when a rack is lost.
 	maxUnrunAttempts = 5
 )
 
-// RetryBudget keeps retries a small share of first attempts, so that an
-// outage is not made worse by the attempts it causes.
+// RetryBudget limits retries to a small share of first attempts, so that retries
+// do not make an outage worse.
 type RetryBudget struct {
 	share float64
 
@@ -25,20 +27,20 @@
 	tokens float64
 }
 
-// NewRetryBudget returns a budget; share is the retries allowed for each
+// NewRetryBudget returns a budget that allows the given number of retries per
 // first attempt.
 func NewRetryBudget(share float64) *RetryBudget {
 	return &RetryBudget{share: share, tokens: retryReserve}
 }
 
-// First notes a first attempt.
+// First records a first attempt.
 func (b *RetryBudget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(retryReserve, b.tokens+b.share)
 }
 
-// Take spends a retry if the budget has one.
+// Take consumes one retry, and reports whether the budget had one left.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,8 +51,8 @@
 	return true
 }
 
-// MayRetry reports whether a failed attempt may be followed by another one:
-// the request has not run, or running it again does no harm.
+// MayRetry reports whether a failed attempt may be repeated: the request has not
+// run, or running it again does no harm.
 func MayRetry(v jayverdict.Verdict, idempotent bool, attempts int) bool {
 	if v == jayverdict.NotRun {
 		return attempts < maxUnrunAttempts
--- a/jayroute/pool.go
+++ b/jayroute/pool.go
@@ -10,13 +10,13 @@
 	"jaythread/jayverdict"
 )
 
-// Ticket is what a request asks a pool for.
+// Ticket is a request for a slot in a pool.
 type Ticket struct {
 	Caller   string
 	Priority jayrule.Priority
-	// Avoid names upstreams that have failed this request already.
+	// Avoid lists the IDs of upstreams at which this request has already failed.
 	Avoid []string
-	// Wait is the longest time in the queue.
+	// Wait is the longest time that the request may spend in the queue.
 	Wait time.Duration
 }
 
@@ -27,7 +27,8 @@
 	began    time.Time
 }
 
-// Pool is what one entry knows of a pool's upstreams, and who waits for them.
+// Pool holds one entry's view of a pool: its upstreams and the requests that wait
+// for a slot.
 type Pool struct {
 	Name string
 
@@ -40,10 +41,10 @@
 	now       func() time.Time
 }
 
-// PoolOption changes how a pool is made.
+// PoolOption customizes a pool in NewPool.
 type PoolOption func(*Pool)
 
-// WithRandom replaces the source of randomness, for tests.
+// WithRandom replaces the source of random numbers, for tests.
 func WithRandom(random func(n int) int) PoolOption {
 	return func(p *Pool) { p.random = random }
 }
@@ -53,7 +54,8 @@
 	return func(p *Pool) { p.now = now }
 }
 
-// NewPool returns a pool without upstreams whose queue holds queueMax.
+// NewPool returns a pool without upstreams whose queue holds up to queueMax
+// requests.
 func NewPool(name string, queueMax int, options ...PoolOption) *Pool {
 	p := &Pool{
 		Name:      name,
@@ -68,15 +70,15 @@
 	return p
 }
 
-// Target is an upstream as the view has it, with this entry's share of slots.
+// Target is an upstream in the routing view, with this entry's share of its slots.
 type Target struct {
 	ID    string
 	Addr  string
 	Share int
 }
 
-// Update replaces the upstreams. One that stays keeps its counters; one that
-// is gone gets no new request, and its leases end by themselves.
+// Update replaces the upstreams. An upstream that remains keeps its counters. One
+// that is removed gets no new requests, and its leases end as usual.
 func (p *Pool) Update(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +87,7 @@
 	for _, t := range targets {
 		u, known := p.upstreams[t.ID]
 		if !known || u.Addr != t.Addr {
-			u = &Upstream{ID: t.ID, Addr: t.Addr, since: p.now()}
+			u = &Upstream{ID: t.ID, Addr: t.Addr, addedAt: p.now()}
 		}
 		u.share = t.Share
 		u.leaving = false
@@ -94,14 +96,14 @@
 	}
 	for id, u := range p.upstreams {
 		if next[id] != u {
-			u.gone = true
+			u.removed = true
 		}
 	}
 	p.upstreams = next
 	p.dispatch()
 }
 
-// SetLeaving stops new work on an upstream before the view says so.
+// SetLeaving stops new work on an upstream before the routing view does.
 func (p *Pool) SetLeaving(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,22 +112,22 @@
 	}
 }
 
-// Size returns how many upstreams the pool has.
+// Size returns the number of upstreams in the pool.
 func (p *Pool) Size() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.list)
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of requests in the queue.
 func (p *Pool) Waiting() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.size
 }
 
-// Acquire returns a lease, at once or after a wait. An error is a refusal:
-// the request has not run.
+// Acquire returns a lease, immediately or after waiting in the queue. An error
+// means that the request was refused and has not run.
 func (p *Pool) Acquire(t Ticket) (*Lease, error) {
 	p.mu.Lock()
 	if !p.hasCandidate(t.Avoid) {
@@ -153,9 +155,9 @@
 	return p.await(w, t.Wait)
 }
 
-// hasCandidate reports whether waiting can help: some upstream has not failed
-// this request yet. Without it, a request that has tried them all would wait
-// in the queue for nothing.
+// hasCandidate reports whether waiting can help, that is whether there is an
+// upstream at which this request has not failed yet. Otherwise a request that has
+// tried all of them would wait for a slot that it cannot use.
 func (p *Pool) hasCandidate(avoid []string) bool {
 	for _, u := range p.list {
 		if !u.leaving && !slices.Contains(avoid, u.ID) {
@@ -188,10 +190,11 @@
 	}
 }
 
-// admit queues a waiter. A full queue sheds a waiter of lower priority.
+// admit adds a waiter to the queue. If the queue is full, a waiter of lower
+// priority is evicted, or else the new one is refused.
 func (p *Pool) admit(w *waiter) bool {
 	if p.queue.size >= p.queueMax {
-		victim := p.queue.lowest(w.priority)
+		victim := p.queue.evictionCandidate(w.priority)
 		if victim == nil {
 			return false
 		}
@@ -202,22 +205,24 @@
 	return true
 }
 
-// Valid reports whether the upstream still takes this pool's requests. Between
-// the slot and the first byte a claim may have waited, or the process may have
-// been paused; the upstream may have drained or changed its pool meanwhile.
+// Valid reports whether the upstream still takes requests of this pool. Between
+// acquiring the slot and sending the first byte, a claim may have waited or the
+// process may have been paused, and the upstream may have drained or moved to
+// another pool.
 func (l *Lease) Valid() bool {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	return !l.Upstream.gone && !l.Upstream.leaving
+	return !l.Upstream.removed && !l.Upstream.leaving
 }
 
-// Release ends the attempt. Failed says that the upstream is to blame.
+// Release ends the attempt. The failed parameter tells whether the upstream caused
+// its failure.
 func (l *Lease) Release(failed bool) {
 	p := l.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	l.Upstream.done(failed, now.Sub(l.began))
+	l.Upstream.recordResult(failed, now.Sub(l.began))
 	if l.Upstream.failures >= ejectAfter && p.mayEject(now) {
 		l.Upstream.eject(now)
 	}
@@ -227,14 +232,14 @@
 func (p *Pool) mayEject(now time.Time) bool {
 	out := 1
 	for _, u := range p.list {
-		if now.Before(u.until) {
+		if now.Before(u.ejectedUntil) {
 			out++
 		}
 	}
 	return float64(out) <= ejectedShare*float64(len(p.list))
 }
 
-// dispatch gives free slots to waiters in the queue's order.
+// dispatch assigns free slots to waiters in the order of the queue.
 func (p *Pool) dispatch() {
 	for p.queue.size > 0 {
 		var next *waiter
@@ -261,18 +266,19 @@
 	return &Lease{Upstream: u, pool: p, began: p.now()}
 }
 
-// samples is how many upstreams a choice looks at before it scans all.
-const samples = 4
+// maxSamples is the number of upstreams that are sampled at random before all are
+// scanned.
+const maxSamples = 4
 
-// choose returns a free upstream: the cheaper of two that are found free at
-// random, or the first free one of a scan.
+// choose returns an available upstream: the one of lower cost out of two found by
+// random sampling, or the first available one in a scan.
 func (p *Pool) choose(avoid []string) *Upstream {
 	now := p.now()
 	var best *Upstream
 	found := 0
-	for n := 0; n < samples && found < 2 && len(p.list) > 0; n++ {
+	for n := 0; n < maxSamples && found < 2 && len(p.list) > 0; n++ {
 		u := p.list[p.random(len(p.list))]
-		if !p.eligible(u, avoid, now) || p.tooCold(u, now) {
+		if !p.eligible(u, avoid, now) || p.skipDuringSlowStart(u, now) {
 			continue
 		}
 		found++
@@ -301,14 +307,15 @@
 }
 
 func (p *Pool) eligible(u *Upstream, avoid []string, now time.Time) bool {
-	return u.free(now) && !slices.Contains(avoid, u.ID)
+	return u.available(now) && !slices.Contains(avoid, u.ID)
 }
 
-// tooCold passes over a new upstream more often the newer it is (slow start).
-func (p *Pool) tooCold(u *Upstream, now time.Time) bool {
-	age := now.Sub(u.since)
-	if age >= warmTime {
+// skipDuringSlowStart reports whether to skip an upstream that was added recently.
+// The probability is higher the newer the upstream is.
+func (p *Pool) skipDuringSlowStart(u *Upstream, now time.Time) bool {
+	age := now.Sub(u.addedAt)
+	if age >= slowStartTime {
 		return false
 	}
-	return p.random(int(warmTime)) > int(age)
+	return p.random(int(slowStartTime)) > int(age)
 }
--- a/jayroute/pool_test.go
+++ b/jayroute/pool_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// acquireLater asks for a lease in the background and returns the channel of
-// its outcome, once the request waits.
+// acquireLater requests a lease in the background, waits until the request is
+// queued, and returns the channel that receives its error.
 func acquireLater(p *Pool, t Ticket) <-chan error {
 	outcome := make(chan error, 1)
 	go func() {
@@ -133,7 +133,7 @@
 			held.Release(false)
 			is.NoErr(<-urgent)
 			time.Sleep(2 * time.Minute)
-			is.Equal(jayverdict.Of(<-first), jayverdict.NotRun) // the urgent one keeps the slot
+			is.Equal(jayverdict.Of(<-first), jayverdict.NotRun) // the urgent request keeps the slot
 		})
 	})
 	t.Run("the wait is bounded", func(t *testing.T) {
@@ -182,9 +182,9 @@
 		is.Equal(lease.Upstream.ID, "u1")
 		_, err = p.Acquire(Ticket{Avoid: []string{"u0"}, Wait: time.Second})
 		is.True(err != nil)
-		// Symptom: a refusal comes only after the whole wait.
-		// Sequence: a request has tried every upstream of its pool.
-		// Cause: it waited for a slot that could never be its.
+		// Guards against a refusal that comes only after the whole wait: a request
+		// that has tried every upstream of its pool waits for a slot that it
+		// cannot use.
 		began := time.Now()
 		_, err = p.Acquire(Ticket{Avoid: []string{"u0", "u1"}, Wait: time.Second})
 		is.True(err != nil)
@@ -225,7 +225,7 @@
 		}
 		ejected := 0
 		for _, u := range p.list {
-			if time.Now().Before(u.until) {
+			if time.Now().Before(u.ejectedUntil) {
 				ejected++
 			}
 		}
@@ -243,7 +243,7 @@
 			taken++
 		}
 	}
-	is.True(taken >= 100 && taken <= 111) // the reserve and a tenth
+	is.True(taken >= 100 && taken <= 111) // the reserve plus a tenth of the first attempts
 }
 
 func TestMayRetry(t *testing.T) {
--- a/jayroute/queue.go
+++ b/jayroute/queue.go
@@ -10,21 +10,21 @@
 	priority jayrule.Priority
 	avoid    []string
 	granted  chan *Upstream
-	// shed is closed when a request of higher priority took the place.
+	// shed is closed when a request of higher priority takes the waiter's place.
 	shed chan struct{}
 }
 
-// queue holds waiters: the highest priority first, callers of one priority in
-// turn, the requests of one caller in order of arrival.
+// queue holds the waiters. The highest priority is served first, the callers of
+// one priority in rotation, and the requests of one caller in order of arrival.
 type queue struct {
 	levels [jayrule.Urgent + 1]level
 	size   int
 }
 
 type level struct {
-	callers map[string][]*waiter
-	turns   []string
-	size    int
+	callers  map[string][]*waiter
+	rotation []string
+	size     int
 }
 
 func (q *queue) push(w *waiter) {
@@ -33,18 +33,19 @@
 		l.callers = map[string][]*waiter{}
 	}
 	if len(l.callers[w.caller]) == 0 {
-		l.turns = append(l.turns, w.caller)
+		l.rotation = append(l.rotation, w.caller)
 	}
 	l.callers[w.caller] = append(l.callers[w.caller], w)
 	l.size++
 	q.size++
 }
 
-// each calls visit in the order of service until it returns false.
+// each calls visit for the first waiter of each caller in the order of service
+// until visit returns false.
 func (q *queue) each(visit func(*waiter) bool) {
 	for p := int(jayrule.Urgent); p >= 0; p-- {
 		l := &q.levels[p]
-		for _, caller := range l.turns {
+		for _, caller := range l.rotation {
 			if !visit(l.callers[caller][0]) {
 				return
 			}
@@ -52,7 +53,8 @@
 	}
 }
 
-// remove takes a waiter out; served moves its caller to the end of the turns.
+// remove removes a waiter and reports whether it was queued. If it was served, its
+// caller moves to the end of the rotation.
 func (q *queue) remove(w *waiter, served bool) bool {
 	l := &q.levels[w.priority]
 	list := l.callers[w.caller]
@@ -77,33 +79,34 @@
 	if !empty && !served {
 		return
 	}
-	for n, c := range l.turns {
+	for n, c := range l.rotation {
 		if c == caller {
-			l.turns = append(l.turns[:n:n], l.turns[n+1:]...)
+			l.rotation = append(l.rotation[:n:n], l.rotation[n+1:]...)
 			break
 		}
 	}
 	if !empty {
-		l.turns = append(l.turns, caller)
+		l.rotation = append(l.rotation, caller)
 	}
 }
 
-// lowest returns the newest waiter of the caller that waits with most, in the
-// lowest priority below p.
-func (q *queue) lowest(p jayrule.Priority) *waiter {
+// evictionCandidate returns a waiter to evict in favor of priority p: in the
+// lowest occupied priority below p, the newest waiter of the caller with the most
+// waiters.
+func (q *queue) evictionCandidate(p jayrule.Priority) *waiter {
 	for level := jayrule.Low; level < p; level++ {
 		l := &q.levels[level]
 		if l.size == 0 {
 			continue
 		}
-		return l.greediest()
+		return l.newestOfLargestCaller()
 	}
 	return nil
 }
 
-func (l *level) greediest() *waiter {
+func (l *level) newestOfLargestCaller() *waiter {
 	var most []*waiter
-	for _, caller := range l.turns {
+	for _, caller := range l.rotation {
 		if list := l.callers[caller]; len(list) > len(most) {
 			most = list
 		}
--- a/jayroute/share.go
+++ b/jayroute/share.go
@@ -2,10 +2,10 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Share returns how many of an upstream's slots belong to the entry self.
-// The slots are divided evenly over the members; what is left over goes to
-// the members that rank first for this upstream, so that the shares of all
-// members sum up to the slots without a message between them.
+// Share returns how many of an upstream's slots belong to the entry self. The
+// slots are divided evenly among the members. The remainder goes to the members
+// that rank first for this upstream, so that the shares of all members add up to
+// the slots without any coordination.
 func Share(slots int, upstream, self string, members []string) int {
 	n := len(members)
 	if n <= 1 {
--- a/jayroute/share_simulation_test.go
+++ b/jayroute/share_simulation_test.go
@@ -9,77 +9,79 @@
 	"time"
 )
 
-// This file compares ways to share a worker's slots among entries that do not
-// see each other's load. It is a calculation over queues, not a cluster: ten
-// workers of eight slots, eight entries, Poisson arrivals, exponential times.
+// This file compares strategies for sharing a worker's slots among entries that do
+// not see each other's load. It is a simulation with queues, not a cluster: ten
+// workers of eight slots, eight entries, Poisson arrivals and exponential service
+// times.
 
-// sharing is a way to share slots.
+// sharing is a strategy for sharing slots.
 type sharing int
 
 const (
-	// staticShares gives each entry its own part of every worker's slots.
+	// staticShares gives each entry a fixed part of every worker's slots.
 	staticShares sharing = iota
-	// localTwo picks the better of two workers by the entry's own load only.
+	// localTwo picks the less loaded of two random workers by the entry's own load
+	// only.
 	localTwo
-	// peerTwo adds the other entries' load as of the last heartbeat.
+	// peerTwo adds the load that the other entries reported in the last heartbeat.
 	peerTwo
-	// leasedSlots asks one broker for each worker for a slot.
+	// leasedSlots requests a slot from a broker per worker.
 	leasedSlots
 )
 
 var sharingNames = [...]string{"staticShares", "localTwo", "peerTwo", "leasedSlots"}
 
 const (
-	tableEntries   = 8
-	tableWorkers   = 10
-	tableSlots     = 8
-	tableService   = 20 * time.Millisecond
-	tableQueueTime = 500 * time.Millisecond
-	tableLength    = 20 * time.Second
-	tableHeartbeat = 200 * time.Millisecond
-	tableBroker    = 3 * time.Millisecond
-	tableTries     = 3
+	simEntries   = 8
+	simWorkers   = 10
+	simSlots     = 8
+	simService   = 20 * time.Millisecond
+	simQueueTime = 500 * time.Millisecond
+	simLength    = 20 * time.Second
+	simHeartbeat = 200 * time.Millisecond
+	simBroker    = 3 * time.Millisecond
+	simTries     = 3
 )
 
-// trial is one cell of the table.
+// trial is one cell of the result table.
 type trial struct {
 	sharing sharing
 	load    float64
 	// slow makes worker 0 ten times slower.
 	slow bool
-	// lost ends entry 0 after a quarter of the time. Its callers go to the
-	// others; its shares come back after three seconds.
+	// lost ends entry 0 after a quarter of the time. Its callers move to the other
+	// entries, and its shares are redistributed after three seconds.
 	lost bool
 }
 
-type tableJob struct {
+type simJob struct {
 	entry   int
 	arrived time.Duration
 	tries   int
 }
 
-type tableEvent struct {
+type simEvent struct {
 	at     time.Duration
 	kind   int
-	job    tableJob
+	job    simJob
 	worker int
 }
 
 const (
 	arrive = iota
 	finish
-	beat
-	lose
-	heal
+	heartbeat
+	loseEntry
+	redistribute
 	retryJob
 )
 
-type events []tableEvent
+type events []simEvent
 
 func (e events) Len() int           { return len(e) }
 func (e events) Less(i, j int) bool { return e[i].at < e[j].at }
 func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)        { *e = append(*e, x.(tableEvent)) }
+func (e *events) Push(x any)        { *e = append(*e, x.(simEvent)) }
 func (e *events) Pop() any {
 	old := *e
 	last := old[len(old)-1]
@@ -87,15 +89,15 @@
 	return last
 }
 
-type table struct {
+type simulation struct {
 	trial
 	random   *rand.Rand
 	now      time.Duration
 	events   events
-	busy     [tableWorkers]int
-	local    [tableEntries][tableWorkers]int
-	beaten   [tableEntries][tableWorkers]int
-	waiting  [tableEntries][]tableJob
+	busy     [simWorkers]int
+	local    [simEntries][simWorkers]int
+	reported [simEntries][simWorkers]int
+	waiting  [simEntries][]simJob
 	members  []string
 	dead     bool
 	latency  []time.Duration
@@ -104,51 +106,51 @@
 	sent     int
 }
 
-func (t trial) run() *table {
-	m := &table{trial: t, random: rand.New(rand.NewPCG(1, uint64(t.sharing)))}
-	for n := range tableEntries {
+func (t trial) run() *simulation {
+	m := &simulation{trial: t, random: rand.New(rand.NewPCG(1, uint64(t.sharing)))}
+	for n := range simEntries {
 		m.members = append(m.members, fmt.Sprint("e", n))
 	}
-	capacity := float64(tableWorkers*tableSlots) / tableService.Seconds()
+	capacity := float64(simWorkers*simSlots) / simService.Seconds()
 	m.arrivals(capacity * t.load)
-	for at := time.Duration(0); at < tableLength; at += tableHeartbeat {
-		m.at(at, tableEvent{kind: beat})
+	for at := time.Duration(0); at < simLength; at += simHeartbeat {
+		m.at(at, simEvent{kind: heartbeat})
 	}
 	if t.lost {
-		m.at(tableLength/4, tableEvent{kind: lose})
-		m.at(tableLength/4+3*time.Second, tableEvent{kind: heal})
+		m.at(simLength/4, simEvent{kind: loseEntry})
+		m.at(simLength/4+3*time.Second, simEvent{kind: redistribute})
 	}
 	for len(m.events) > 0 {
-		e := heap.Pop(&m.events).(tableEvent)
+		e := heap.Pop(&m.events).(simEvent)
 		m.now = e.at
 		m.handle(e)
 	}
 	return m
 }
 
-func (m *table) arrivals(perSecond float64) {
+func (m *simulation) arrivals(perSecond float64) {
 	at := 0.0
 	for {
 		at += m.random.ExpFloat64() / perSecond
 		when := time.Duration(at * float64(time.Second))
-		if when > tableLength {
+		if when > simLength {
 			return
 		}
 		m.sent++
-		m.at(when, tableEvent{kind: arrive, job: tableJob{entry: m.random.IntN(tableEntries), arrived: when}})
+		m.at(when, simEvent{kind: arrive, job: simJob{entry: m.random.IntN(simEntries), arrived: when}})
 	}
 }
 
-func (m *table) at(when time.Duration, e tableEvent) {
+func (m *simulation) at(when time.Duration, e simEvent) {
 	e.at = when
 	heap.Push(&m.events, e)
 }
 
-func (m *table) handle(e tableEvent) {
+func (m *simulation) handle(e simEvent) {
 	switch e.kind {
 	case arrive, retryJob:
 		if m.dead && e.job.entry == 0 {
-			e.job.entry = 1 + m.random.IntN(tableEntries-1)
+			e.job.entry = 1 + m.random.IntN(simEntries-1)
 		}
 		m.waiting[e.job.entry] = append(m.waiting[e.job.entry], e.job)
 		m.dispatch(e.job.entry)
@@ -158,25 +160,25 @@
 		m.latency = append(m.latency, m.now-e.job.arrived)
 		m.dispatch(e.job.entry)
 		if m.sharing == leasedSlots {
-			for n := range tableEntries {
+			for n := range simEntries {
 				m.dispatch(n)
 			}
 		}
-	case beat:
-		m.beaten = m.local
-	case lose:
+	case heartbeat:
+		m.reported = m.local
+	case loseEntry:
 		m.dead = true
 		m.refused += len(m.waiting[0])
 		m.waiting[0] = nil
-	case heal:
+	case redistribute:
 		m.members = m.members[1:]
 	}
 }
 
-func (m *table) dispatch(entry int) {
+func (m *simulation) dispatch(entry int) {
 	for len(m.waiting[entry]) > 0 {
 		job := m.waiting[entry][0]
-		if m.now-job.arrived > tableQueueTime {
+		if m.now-job.arrived > simQueueTime {
 			m.waiting[entry] = m.waiting[entry][1:]
 			m.refused++
 			continue
@@ -190,39 +192,39 @@
 	}
 }
 
-func (m *table) start(job tableJob, worker int) {
-	if m.busy[worker] >= tableSlots {
+func (m *simulation) start(job simJob, worker int) {
+	if m.busy[worker] >= simSlots {
 		m.overruns++
 		job.tries++
-		if job.tries >= tableTries {
+		if job.tries >= simTries {
 			m.refused++
 			return
 		}
-		m.at(m.now+2*time.Millisecond, tableEvent{kind: retryJob, job: job})
+		m.at(m.now+2*time.Millisecond, simEvent{kind: retryJob, job: job})
 		return
 	}
 	m.busy[worker]++
 	m.local[job.entry][worker]++
-	took := time.Duration(m.random.ExpFloat64() * float64(tableService))
+	took := time.Duration(m.random.ExpFloat64() * float64(simService))
 	if m.slow && worker == 0 {
 		took *= 10
 	}
 	if m.sharing == leasedSlots {
-		took += tableBroker
+		took += simBroker
 	}
-	m.at(m.now+took, tableEvent{kind: finish, job: job, worker: worker})
+	m.at(m.now+took, simEvent{kind: finish, job: job, worker: worker})
 }
 
-func (m *table) choose(entry int) int {
+func (m *simulation) choose(entry int) int {
 	if m.sharing == staticShares {
-		return m.bestOf(entry, tableWorkers)
+		return m.bestOf(entry, simWorkers)
 	}
 	return m.bestOf(entry, 2)
 }
 
-func (m *table) bestOf(entry, samples int) int {
+func (m *simulation) bestOf(entry, samples int) int {
 	best, bestLoad := -1, 0
-	for _, worker := range m.random.Perm(tableWorkers)[:samples] {
+	for _, worker := range m.random.Perm(simWorkers)[:samples] {
 		load, limit := m.loadAt(entry, worker)
 		if load >= limit {
 			continue
@@ -234,42 +236,43 @@
 	return best
 }
 
-// loadAt returns the load that the entry takes a worker to have, and what it
-// takes to be full.
-func (m *table) loadAt(entry, worker int) (load, limit int) {
+// loadAt returns a worker's load as the entry estimates it, and the load at which
+// the entry considers the worker full.
+func (m *simulation) loadAt(entry, worker int) (load, limit int) {
 	switch m.sharing {
 	case staticShares:
-		return m.local[entry][worker], Share(tableSlots, fmt.Sprint("w", worker), fmt.Sprint("e", entry), m.members)
+		return m.local[entry][worker], Share(simSlots, fmt.Sprint("w", worker), fmt.Sprint("e", entry), m.members)
 	case localTwo:
-		return m.local[entry][worker], tableSlots
+		return m.local[entry][worker], simSlots
 	case peerTwo:
 		load = m.local[entry][worker]
-		for other := range tableEntries {
+		for other := range simEntries {
 			if other != entry {
-				load += m.beaten[other][worker]
+				load += m.reported[other][worker]
 			}
 		}
-		return load, tableSlots
+		return load, simSlots
 	default:
-		return m.busy[worker], tableSlots
+		return m.busy[worker], simSlots
 	}
 }
 
-// BenchmarkSlotSharing prints the table: goodput as a share of capacity, p99,
-// refusals and overruns as the workers count them.
+// BenchmarkSlotSharing reports, for each strategy and load, the goodput as a share
+// of capacity, the p99 latency, the refusals and the overruns counted at the
+// workers.
 func BenchmarkSlotSharing(b *testing.B) {
-	capacity := float64(tableWorkers*tableSlots) / tableService.Seconds()
+	capacity := float64(simWorkers*simSlots) / simService.Seconds()
 	cases := []trial{{load: 0.5}, {load: 0.9}, {load: 1.2}, {load: 2}, {load: 0.9, slow: true}, {load: 0.9, lost: true}}
 	for _, c := range cases {
 		for s := range sharingNames {
 			c.sharing = sharing(s)
 			b.Run(fmt.Sprintf("load %.1f slow %t lost %t/%s", c.load, c.slow, c.lost, sharingNames[s]), func(b *testing.B) {
-				var m *table
+				var m *simulation
 				for b.Loop() {
 					m = c.run()
 				}
 				slices.Sort(m.latency)
-				b.ReportMetric(float64(len(m.latency))/tableLength.Seconds()/capacity, "goodput")
+				b.ReportMetric(float64(len(m.latency))/simLength.Seconds()/capacity, "goodput")
 				b.ReportMetric(float64(m.latency[len(m.latency)*99/100].Milliseconds()), "p99ms")
 				b.ReportMetric(100*float64(m.refused)/float64(m.sent), "refused%")
 				b.ReportMetric(100*float64(m.overruns)/float64(m.sent), "overruns%")
--- a/jayroute/upstream.go
+++ b/jayroute/upstream.go
@@ -1,4 +1,4 @@
-// Package jayroute chooses the upstream of each request and keeps the limits:
+// Package jayroute chooses the upstream for each request and enforces the limits:
 // slots, queues, fairness between callers, retries and ejection.
 package jayroute
 
@@ -7,52 +7,54 @@
 )
 
 const (
-	// ejectAfter failures in a row take an upstream out of the choice.
+	// ejectAfter is the number of consecutive failures after which an upstream is
+	// ejected, that is excluded from the choice.
 	ejectAfter = 3
-	// firstEjection is the first time out; each further one doubles it.
+	// firstEjection is the duration of the first ejection. Each further one lasts
+	// twice as long, up to maxEjection.
 	firstEjection = time.Second
 	maxEjection   = 30 * time.Second
-	// ejectedShare is the largest part of a pool that may be ejected: with
-	// more, the failure is not the upstreams' but ours or the network's.
+	// ejectedShare is the largest share of a pool that may be ejected. If more
+	// upstreams fail, the cause is this entry or the network, not the upstreams.
 	ejectedShare = 0.5
-	// warmTime is how long an upstream that is new takes fewer requests.
-	warmTime = 2 * time.Second
-	// latencyWeight is the weight of the newest latency in the average.
+	// slowStartTime is how long a new upstream takes fewer requests.
+	slowStartTime = 2 * time.Second
+	// latencyWeight is the weight of the newest latency in the moving average.
 	latencyWeight = 0.2
 )
 
-// Upstream is what one entry knows of an upstream instance. Its pool's lock
-// guards it.
+// Upstream is one entry's view of an upstream instance. It is protected by the
+// lock of its pool.
 type Upstream struct {
 	ID   string
 	Addr string
 
-	share    int
-	inFlight int
-	failures int
-	ejected  int
-	until    time.Time
-	since    time.Time
-	latency  time.Duration
-	gone     bool
-	leaving  bool
+	share        int
+	inFlight     int
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
+	addedAt      time.Time
+	latency      time.Duration
+	removed      bool
+	leaving      bool
 }
 
-func (u *Upstream) free(now time.Time) bool {
-	return !u.gone && !u.leaving && u.inFlight < u.share && !now.Before(u.until)
+func (u *Upstream) available(now time.Time) bool {
+	return !u.removed && !u.leaving && u.inFlight < u.share && !now.Before(u.ejectedUntil)
 }
 
-// cost orders upstreams: expected time in the upstream with one request more.
+// cost estimates the time that one more request would take at the upstream.
 func (u *Upstream) cost() float64 {
 	return float64(u.inFlight+1) * float64(max(u.latency, time.Millisecond))
 }
 
-// done notes the end of an attempt.
-func (u *Upstream) done(failed bool, took time.Duration) {
+// recordResult records the end of an attempt.
+func (u *Upstream) recordResult(failed bool, took time.Duration) {
 	u.inFlight--
 	if !failed {
 		u.failures = 0
-		u.ejected = 0
+		u.ejections = 0
 		u.observe(took)
 		return
 	}
@@ -68,8 +70,8 @@
 }
 
 func (u *Upstream) eject(now time.Time) {
-	out := min(firstEjection<<min(u.ejected, 10), maxEjection)
-	u.until = now.Add(out)
-	u.ejected++
+	out := min(firstEjection<<min(u.ejections, 10), maxEjection)
+	u.ejectedUntil = now.Add(out)
+	u.ejections++
 	u.failures = 0
 }
