--- a/jayserve/exchange.go
+++ b/jayserve/exchange.go
@@ -15,8 +15,8 @@
 	"jaythread/jaywire"
 )
 
-// serve answers the request, or returns an error of type *jayverdict.Error
-// that says whether it may have run.
+// serve answers the request. A returned error is of type *jayverdict.Error and
+// states whether the request may have run.
 func (x *exchange) serve() error {
 	idempotencyKey := x.ctx.Request.Header.Peek(HeaderKey)
 	if x.route.Idempotent || len(idempotencyKey) == 0 {
@@ -26,14 +26,14 @@
 	return x.serveKeyed(string(idempotencyKey))
 }
 
-// keyed is the claim of a keyed request while it is under way.
+// keyed holds the key and the claim of a keyed request while it is under way.
 type keyed struct {
 	key         jayclaim.Key
 	fingerprint []byte
 	claim       *jaywire.Claim
 }
 
-// serveKeyed runs the request at most once over all entries.
+// serveKeyed runs the request at most once across all entries.
 func (x *exchange) serveKeyed(idempotencyKey string) error {
 	k := &keyed{
 		key:         jayclaim.NewKey(x.caller, idempotencyKey),
@@ -68,8 +68,8 @@
 	x.ctx.SetBody(a.Body)
 }
 
-// attempts sends the request until it is answered or must not be sent again.
-// It returns the whole answer if one came that was not streamed.
+// attempts sends the request until it is answered or must not be sent again. It
+// returns the answer, unless the answer was streamed or is not to be stored.
 func (x *exchange) attempts(k *keyed) (*jayclaim.Answer, error) {
 	x.server.budget.First()
 	for attempt := 1; ; attempt++ {
@@ -77,7 +77,7 @@
 		if err == nil {
 			return answer, nil
 		}
-		err = x.honest(err)
+		err = x.combineVerdict(err)
 		var refused *refusedBeforeAttempt
 		if errors.As(err, &refused) {
 			return nil, refused.err
@@ -90,20 +90,22 @@
 	}
 }
 
-// honest keeps the weakest verdict of all attempts. Without it a request that
-// timed out at one upstream and then found no slot at another would be refused
-// as "not run", while the first upstream may still be running it.
-func (x *exchange) honest(err error) error {
+// combineVerdict returns the error of an attempt with the weakest verdict of all
+// attempts. Otherwise a request that timed out at one upstream and then got no
+// slot at another would be refused as "not run", while the first upstream may
+// still be running it.
+func (x *exchange) combineVerdict(err error) error {
 	verdict := jayverdict.Of(err)
-	if verdict == jayverdict.NotRun && x.touched {
+	if verdict == jayverdict.NotRun && x.mayHaveRun {
 		return &refusedBeforeAttempt{err: jayverdict.NewMayHaveRun(502, "an attempt may have run, and none followed", err)}
 	}
-	x.touched = x.touched || verdict != jayverdict.NotRun
+	x.mayHaveRun = x.mayHaveRun || verdict != jayverdict.NotRun
 	return err
 }
 
-// refusedBeforeAttempt ends a request that got no slot or no claim. Trying
-// again at once would only take the place of others.
+// refusedBeforeAttempt is the error of a request that got no slot or no claim.
+// Such a request is not retried at once, because it would only displace other
+// requests.
 type refusedBeforeAttempt struct {
 	err error
 }
@@ -134,7 +136,7 @@
 	}
 	result, err := x.send(lease)
 	if err != nil {
-		x.blame(lease, err)
+		x.releaseFailed(lease, err)
 		return nil, err
 	}
 	return x.answer(lease, result, k != nil)
@@ -180,9 +182,9 @@
 	return result, err
 }
 
-// stillAllowed looks again just before the first byte. A process that was
-// paused since the rule was decided would otherwise send by a view that the
-// others have left.
+// stillAllowed repeats the checks immediately before the first byte is sent. After
+// a pause since the routing decision, the process would otherwise send by a view
+// that the other entries no longer use.
 func (x *exchange) stillAllowed(lease *jayroute.Lease) *jayverdict.Error {
 	if x.left() <= 0 {
 		return jayverdict.NewNotRun(503, "no time left", time.Second)
@@ -196,14 +198,15 @@
 	return nil
 }
 
-// requests holds requests that were answered. One whose call failed never
-// comes back here: the library may still hold it, and another caller's bytes
-// would then be sent in its place.
+// requests holds requests for reuse after they were answered. A request whose call
+// failed is not returned to the pool: the HTTP library may still read it, and
+// would then send another caller's bytes in its place.
 var requests = sync.Pool{New: func() any { return &fasthttp.Request{} }}
 
-// blame ends a failed attempt. An upstream that refuses is not failing; one
-// that is leaving is told to everybody.
-func (x *exchange) blame(lease *jayroute.Lease, err error) {
+// releaseFailed ends a failed attempt and excludes its upstream from further
+// attempts. An upstream that is leaving is reported to the peers and not counted
+// as failing.
+func (x *exchange) releaseFailed(lease *jayroute.Lease, err error) {
 	leaving := errors.Is(err, jayupstream.ErrLeaving)
 	if leaving {
 		x.server.source.NoteLeaving(lease.Upstream.ID)
@@ -217,7 +220,8 @@
 	return time.Until(x.deadline)
 }
 
-// backOff waits before the next attempt, with jitter, if time is left.
+// backOff waits before the next attempt, with jitter. It returns false if the
+// remaining time is too short.
 func (x *exchange) backOff(attempt int) bool {
 	pause := jitter(firstBackoff << (attempt - 1))
 	if x.left() <= pause {
@@ -227,8 +231,8 @@
 	return true
 }
 
-// answer hands the upstream's answer to the caller, and returns it for resends
-// if it is kept.
+// answer passes the upstream's answer to the caller, and returns it if it is to be
+// stored for resends.
 func (x *exchange) answer(lease *jayroute.Lease, result *jayupstream.Result, keep bool) (*jayclaim.Answer, error) {
 	resp := &x.ctx.Response
 	copyAnswerHeader(&resp.Header, &result.Response.Header)
@@ -256,9 +260,9 @@
 	}, nil
 }
 
-// stream passes on a large answer. The slot is held until its end. An answer
-// that is cut ends the caller's connection without its proper end, so that
-// the caller cannot take the part for the whole.
+// stream passes on a large answer and holds the slot until its end. If the answer
+// is cut off, the caller's connection is closed without a proper end of the body,
+// so that the caller does not take the part for a complete answer.
 func (x *exchange) stream(lease *jayroute.Lease, result *jayupstream.Result, failed bool) {
 	size := result.Response.Header.ContentLength()
 	if size < 0 {
@@ -268,7 +272,7 @@
 	x.ctx.Response.SetBodyStream(body, size)
 }
 
-// streamed reads the buffered beginning and then the rest of an answer.
+// streamed reads the buffered start of an answer and then the rest of it.
 type streamed struct {
 	result *jayupstream.Result
 	lease  *jayroute.Lease
@@ -290,7 +294,7 @@
 	return n, err
 }
 
-// Close ends the attempt.
+// Close ends the attempt and releases its slot.
 func (s *streamed) Close() error {
 	if s.closed {
 		return nil
@@ -300,7 +304,7 @@
 	return s.result.Rest.Close()
 }
 
-// fillRequest copies the caller's request into one for the upstream.
+// fillRequest copies the caller's request into the request for the upstream.
 func (x *exchange) fillRequest(req *fasthttp.Request) {
 	x.ctx.Request.Header.CopyTo(&req.Header)
 	dropHopByHop(&req.Header)
--- a/jayserve/header.go
+++ b/jayserve/header.go
@@ -8,16 +8,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// firstBackoff is the mean pause before the second attempt; it doubles.
+// firstBackoff is the mean delay before the second attempt. It doubles with each
+// further attempt.
 const firstBackoff = 5 * time.Millisecond
 
-// jitter spreads pauses between half and one and a half of d, so that callers
-// that failed together do not come back together.
+// jitter returns a random delay between half of d and one and a half times d, so
+// that callers that failed together do not retry together.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
 
-// hopByHop are the headers that belong to one connection (RFC 9110, "Connection").
+// hopByHop lists the headers that apply to a single connection (RFC 9110,
+// "Connection").
 var hopByHop = [...]string{
 	fasthttp.HeaderConnection,
 	"Keep-Alive",
--- a/jayserve/limiter.go
+++ b/jayserve/limiter.go
@@ -7,11 +7,11 @@
 	"golang.org/x/time/rate"
 )
 
-// maxLimited bounds the callers whose rate is remembered. A caller that is
-// forgotten starts with a full allowance again.
+// maxLimited limits the number of rate limiters that are kept. All are dropped
+// when it is reached, and each caller starts with a full allowance again.
 const maxLimited = 10_000
 
-// callerLimiter bounds the rate of each caller under each rule.
+// callerLimiter limits the request rate of each caller under each rule.
 type callerLimiter struct {
 	mu       sync.Mutex
 	limiters map[limiterKey]*rate.Limiter
@@ -26,8 +26,8 @@
 	return &callerLimiter{limiters: map[limiterKey]*rate.Limiter{}}
 }
 
-// allow reports whether the caller may send one more request now. A rate of
-// zero is no limit.
+// allow reports whether the caller may send another request now. A rate of zero
+// means no limit.
 func (l *callerLimiter) allow(caller, rule string, perSecond float64, now time.Time) bool {
 	if perSecond <= 0 {
 		return true
--- a/jayserve/server.go
+++ b/jayserve/server.go
@@ -1,4 +1,5 @@
-// Package jayserve takes one caller's request from its rule to its answer.
+// Package jayserve handles a caller's request from the routing rules to the
+// answer.
 package jayserve
 
 import (
@@ -17,45 +18,46 @@
 	"jaythread/jayverdict"
 )
 
-// Headers of requests.
+// These are the names of request headers.
 const (
 	HeaderKey  = "Idempotency-Key"
 	HeaderPool = "Jaythread-Pool"
-	// HeaderPriority is what a caller says of its request; rules may heed it.
+	// HeaderPriority is the priority that a caller requests. Rules may use it.
 	HeaderPriority = "Jaythread-Priority"
 )
 
-// View is what requests are decided by. It is replaced as a whole, so that a
-// request sees one revision from beginning to end.
+// View is the routing view by which requests are decided. It is replaced as a
+// whole, so that each request uses a single revision.
 type View struct {
 	Revision uint64
 	Offset   uint64
-	// FreshAt is when the state behind the view was last known to be the
-	// newest, at the time when the view was made.
+	// FreshAt is when the state behind the view was last known to be current, as
+	// of the time when the view was built.
 	FreshAt time.Time
 	Config  *jayconfig.Configuration
 	Pools   map[string]*jayroute.Pool
-	// States holds the word that rules use for each pool's standing.
+	// States holds the state name of each pool, as used in rules.
 	States map[string]string
-	// Connections is this entry's share of an upstream's connections, by pool.
+	// Connections is this entry's share of the connections to an upstream, by
+	// pool.
 	Connections map[string]int
 }
 
-// Source tells the server what is in force.
+// Source provides the routing view.
 type Source interface {
-	// View returns the view, or a refusal if there is none to use.
+	// View returns the current view, or a refusal if no view may be used.
 	View() (*View, *jayverdict.Error)
-	// NoteLeaving learns that an upstream takes no more work.
+	// NoteLeaving reports that an upstream takes no more work.
 	NoteLeaving(upstream string)
 }
 
-// Observer counts what happened to requests.
+// Observer receives the outcomes of requests.
 type Observer interface {
 	Answered(pool string, v jayverdict.Verdict, status int, took time.Duration)
 	Retried(pool string)
 }
 
-// Options are the settings of a server.
+// Options are the settings of a Server.
 type Options struct {
 	CallerHeader string
 	QueueTime    time.Duration
@@ -63,7 +65,7 @@
 	RetryShare   float64
 }
 
-// Server answers callers.
+// Server answers the requests of callers.
 type Server struct {
 	options  Options
 	source   Source
@@ -75,7 +77,7 @@
 	logger   logr.Logger
 }
 
-// NewServer returns a server.
+// NewServer returns a Server that routes by the views of source.
 func NewServer(options Options, source Source, claimer *jayclaim.Claimer, client *jayupstream.Client, observer Observer, logger logr.Logger) *Server {
 	return &Server{
 		options:  options,
@@ -89,7 +91,7 @@
 	}
 }
 
-// exchange is one request under way.
+// exchange is a request under way.
 type exchange struct {
 	server   *Server
 	ctx      *fasthttp.RequestCtx
@@ -100,9 +102,9 @@
 	began    time.Time
 	deadline time.Time
 	avoid    []string
-	// touched says that an attempt so far may have run the request. No later
-	// refusal may then call it "not run".
-	touched bool
+	// mayHaveRun is set once an attempt may have run the request. A later refusal
+	// must not report the request as "not run" then.
+	mayHaveRun bool
 }
 
 // Handle answers one request.
@@ -130,7 +132,7 @@
 	s.observer.Answered(pool, e.Verdict, e.Status, time.Since(began))
 }
 
-// admit decides by the rules whether and where the request goes.
+// admit applies the rules, which refuse the request or select its pool.
 func (s *Server) admit(ctx *fasthttp.RequestCtx, began time.Time) (*exchange, *jayverdict.Error) {
 	view, refusal := s.source.View()
 	if refusal != nil {
@@ -157,8 +159,8 @@
 	}
 }
 
-// callerOf names the caller: the header that the balancer sets, or else the
-// credentials.
+// callerOf returns the name of the caller: the value of the header that the load
+// balancer sets, or else the credentials.
 func (s *Server) callerOf(ctx *fasthttp.RequestCtx) string {
 	if caller := ctx.Request.Header.Peek(s.options.CallerHeader); len(caller) > 0 {
 		return string(caller)
@@ -170,7 +172,7 @@
 	path := string(ctx.Path())
 	return &jayrule.Subject{
 		Kind:        jayrule.AboutRequest,
-		Service:     firstPart(path),
+		Service:     serviceOf(path),
 		Method:      string(ctx.Method()),
 		Path:        path,
 		Header:      func(name string) string { return string(ctx.Request.Header.Peek(name)) },
@@ -181,8 +183,8 @@
 	}
 }
 
-// firstPart returns the service that a path names: its first part.
-func firstPart(path string) string {
+// serviceOf returns the service that a path addresses, which is its first segment.
+func serviceOf(path string) string {
 	for n := 1; n < len(path); n++ {
 		if path[n] == '/' {
 			return path[1:n]
--- a/jayserve/server_test.go
+++ b/jayserve/server_test.go
@@ -20,7 +20,7 @@
   "pools": [{"name": "seats", "instances": ["seats-*"]}],
   "rules": [{"name": "read", "about": "request", "then": {"route": "seats", "idempotent": true}}]}`
 
-// source hands out a view a number of times, and refuses then.
+// source returns a view a limited number of times and then refuses.
 type source struct {
 	view *View
 	left int
@@ -44,8 +44,8 @@
 func (o *observer) Answered(string, jayverdict.Verdict, int, time.Duration) {}
 func (o *observer) Retried(string)                                          { o.retries++ }
 
-// serveOnce sends one request to a server whose view is usable so many times,
-// and returns the answer and how often an upstream was connected to.
+// serveOnce sends one request to a server whose view can be used the given number
+// of times. It returns the answer and the number of connections made to upstreams.
 func serveOnce(t *testing.T, usable int) (*fasthttp.Response, int) {
 	t.Helper()
 	config, err := jayconfig.Parse("test", []byte(document))
@@ -70,11 +70,11 @@
 	return &ctx.Response, dials
 }
 
-func TestViewIsLookedAtAgainBeforeSending(t *testing.T) {
-	// Symptom: a request reaches an instance that has changed its pool.
-	// Sequence: an entry is paused between its decision and sending; the
-	// others drain and move the instance; the entry wakes.
-	// Cause: the lease on the view was looked at only once.
+func TestViewIsCheckedAgainBeforeSending(t *testing.T) {
+	// Guards against a request that reaches an instance which has moved to another
+	// pool: an entry is paused between its decision and sending, the other entries
+	// drain and move the instance, and the view is not checked again when the
+	// entry resumes.
 	is := is.New(t)
 	answer, dials := serveOnce(t, 1)
 	is.Equal(dials, 0)
@@ -84,7 +84,7 @@
 	is.True(dials > 0)
 }
 
-func TestNoView(t *testing.T) {
+func TestRequestWithoutViewIsRefused(t *testing.T) {
 	is := is.New(t)
 	answer, dials := serveOnce(t, 0)
 	is.Equal(dials, 0)
