--- a/jayupstream/client.go
+++ b/jayupstream/client.go
@@ -1,5 +1,5 @@
-// Package jayupstream sends a request to one upstream once and says what is
-// known of its run.
+// Package jayupstream sends a request to an upstream once and reports whether the
+// request may have run there.
 package jayupstream
 
 import (
@@ -15,32 +15,33 @@
 	"jaythread/jayverdict"
 )
 
-// Errors of attempts.
+// These are the errors of attempts.
 var (
 	errDial = errors.New("cannot connect")
-	// ErrCut means that an answer ended before its end.
+	// ErrCut means that an answer ended before it was complete.
 	ErrCut = errors.New("answer was cut")
 	// ErrLeaving means that the upstream refused a request and closed the
-	// connection: it takes no more work.
+	// connection, and thus takes no more work.
 	ErrLeaving = errors.New("upstream is leaving")
 )
 
-// Result is a whole answer, or the beginning of one that is streamed.
+// Result is a complete answer, or the start of an answer that is streamed.
 type Result struct {
 	Response *fasthttp.Response
-	// Body is the whole body unless Rest is set.
+	// Body is the complete body, unless Rest is set.
 	Body []byte
-	// Rest continues after Body. Its owner closes it, which ends the attempt.
+	// Rest returns the bytes after Body. The receiver must close it to end the
+	// attempt.
 	Rest io.ReadCloser
 }
 
-// responses holds responses that were answered whole. One whose call failed
-// or whose body is streamed never comes back here: somebody may still read
-// into it.
+// responses holds responses for reuse after they were received completely. A
+// response whose call failed or whose body is streamed is not returned to the
+// pool, because something may still read into it.
 var responses = sync.Pool{New: func() any { return &fasthttp.Response{} }}
 
-// Release gives a whole answer back; nothing of Response may be used after
-// it. Body stays valid.
+// Release returns the response of a complete answer to the pool. Response must not
+// be used afterwards; Body stays valid.
 func (r *Result) Release() {
 	if r.Rest != nil {
 		return
@@ -49,7 +50,7 @@
 	responses.Put(r.Response)
 }
 
-// Client keeps the connections to all upstreams.
+// Client manages the connections to all upstreams.
 type Client struct {
 	idle        time.Duration
 	dialTimeout time.Duration
@@ -60,14 +61,14 @@
 	hosts map[string]*host
 }
 
-// host is the client of one upstream and the connections it may make.
+// host is the HTTP client of one upstream and the limit of its connections.
 type host struct {
 	*fasthttp.HostClient
 	limit int
 }
 
-// NewClient returns a client. It keeps a connection for idle, and buffers up
-// to bufferBytes of an answer before it hands out a stream.
+// NewClient returns a Client. It keeps unused connections open for the duration
+// idle, and buffers up to bufferBytes of an answer before it streams the rest.
 func NewClient(idle, dialTimeout time.Duration, bufferBytes int, options ...Option) *Client {
 	c := &Client{idle: idle, dialTimeout: dialTimeout, bufferBytes: bufferBytes, hosts: map[string]*host{}}
 	c.connect = func(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, c.dialTimeout) }
@@ -77,26 +78,27 @@
 	return c
 }
 
-// Option changes how a client is made.
+// Option customizes a Client in NewClient.
 type Option func(*Client)
 
-// WithDial replaces how upstreams are connected to, for tests.
+// WithDial replaces the function that connects to upstreams, for tests.
 func WithDial(dial func(addr string) (net.Conn, error)) Option {
 	return func(c *Client) { c.connect = dial }
 }
 
-// Attempt is one try of a request at an upstream.
+// Attempt describes one attempt to send a request to an upstream.
 type Attempt struct {
 	Addr string
-	// Connections is this entry's share of the upstream's connections.
+	// Connections is this entry's share of the connections to the upstream.
 	Connections int
-	// Fresh asks for a connection of its own. A request that must run at most
-	// once never depends on what an idle connection's other end just did.
+	// Fresh requests a new connection that is closed after this request. It is set
+	// for requests that must run at most once, so that they do not depend on the
+	// state of an idle connection.
 	Fresh   bool
 	Timeout time.Duration
 }
 
-// Do sends the request once. An error is of type *jayverdict.Error. The
+// Do sends the request once. A returned error is of type *jayverdict.Error. The
 // request must not be changed or reused before Do returns.
 func (c *Client) Do(a Attempt, req *fasthttp.Request) (*Result, error) {
 	resp := responses.Get().(*fasthttp.Response)
@@ -119,7 +121,8 @@
 	return c.collect(resp)
 }
 
-// Forget drops the connections to an upstream that left.
+// Forget closes the idle connections to an upstream that has left and drops its
+// client.
 func (c *Client) Forget(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +132,7 @@
 	}
 }
 
-// Addrs returns the addresses with connections.
+// Addrs returns the addresses of the upstreams that have a client.
 func (c *Client) Addrs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,8 +158,8 @@
 	client := &fasthttp.HostClient{
 		Addr:                     a.Addr,
 		NoDefaultUserAgentHeader: true,
-		// The library repeats a GET by itself when a kept connection closes:
-		// the upstream would see two requests for one call.
+		// By default the library repeats a GET when a kept-alive connection
+		// closes, and the upstream would see two requests for one call.
 		MaxIdemponentCallAttempts: 1,
 		MaxConns:                  limit,
 		MaxIdleConnDuration:       c.idle,
@@ -176,8 +179,8 @@
 	return newCountedConn(conn), nil
 }
 
-// collect reads the body up to the buffer limit. A body that is cut within it
-// is an error that the caller sees as such; beyond it the rest is streamed.
+// collect reads the body up to the buffer limit. A body that is cut off within the
+// limit is returned as an error. If the body is longer, the rest is streamed.
 func (c *Client) collect(resp *fasthttp.Response) (*Result, error) {
 	stream := resp.BodyStream()
 	if stream == nil {
@@ -195,9 +198,9 @@
 	return &Result{Response: resp, Body: body, Rest: &rest{resp: resp, stream: stream}}, nil
 }
 
-// readStart reads the body up to the buffer limit and reports whether that is
-// all of it. The end counts only once the stream has said so, which it does
-// not for an answer that was cut.
+// readStart reads the body up to the buffer limit and reports whether it is
+// complete. It is complete only if the stream returns io.EOF, which it does not do
+// for an answer that was cut off.
 func (c *Client) readStart(stream io.Reader, length int) (body []byte, whole bool, err error) {
 	size := smallBody
 	if length >= 0 {
@@ -221,7 +224,7 @@
 	return body, false, nil
 }
 
-// smallBody is the first buffer for an answer of unknown length.
+// smallBody is the initial buffer size in bytes for an answer of unknown length.
 const smallBody = 512
 
 type rest struct {
@@ -237,15 +240,15 @@
 	return r.resp.CloseBodyStream()
 }
 
-// refusedByContract reports whether the upstream says that it has not run the
+// refusedByContract reports whether the upstream states that it has not run the
 // request.
 func refusedByContract(resp *fasthttp.Response) bool {
 	return resp.StatusCode() == fasthttp.StatusServiceUnavailable &&
 		string(resp.Header.Peek(jayverdict.Header)) == jayverdict.NotRun.String()
 }
 
-// classify says what is known after a failed attempt. Only what certainly
-// left no byte at the upstream has not run.
+// classify returns the verdict for a failed attempt. Only a request of which
+// certainly no byte reached the upstream counts as not run.
 func classify(err error) *jayverdict.Error {
 	var v *jayverdict.Error
 	switch {
--- a/jayupstream/client_test.go
+++ b/jayupstream/client_test.go
@@ -16,14 +16,14 @@
 	"jaythread/jayverdict"
 )
 
-// upstream is a fake upstream on loopback whose connections a test handles
-// itself, one request at a time.
+// upstream is a fake upstream on the loopback interface. The test handles its
+// requests one at a time.
 type upstream struct {
 	addr     string
 	requests chan *request
 }
 
-// request is a request that reached the upstream, and its connection.
+// request is a request that reached the upstream, with its connection.
 type request struct {
 	path string
 	conn net.Conn
@@ -65,13 +65,13 @@
 	_, _ = io.WriteString(r.conn, text)
 }
 
-// outcome is what a call came to.
+// outcome is the result of a call.
 type outcome struct {
 	result *Result
 	err    error
 }
 
-// call sends a request and hands what reaches the upstream to the test.
+// call sends a request and passes what reaches the upstream to handle.
 func (u *upstream) call(c *Client, path string, a Attempt, handle func(r *request)) outcome {
 	req := &fasthttp.Request{}
 	req.SetRequestURI("http://upstream" + path)
@@ -152,10 +152,10 @@
 	})
 }
 
-func TestLibraryDoesNotRepeat(t *testing.T) {
-	// Symptom: an upstream sees two requests for one call.
-	// Sequence: a kept connection is closed after a GET was sent on it.
-	// Cause: the client library repeats idempotent methods by itself.
+func TestLibraryDoesNotRetry(t *testing.T) {
+	// Guards against an upstream that sees two requests for one call: the client
+	// library repeats idempotent methods when a kept-alive connection closes after
+	// a GET was sent.
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
 	got := u.call(c, "/first", Attempt{}, func(r *request) { r.write(ok) })
@@ -165,12 +165,10 @@
 	is.Equal(len(u.requests), 0)
 }
 
-func TestIdleConnectionThatWasClosed(t *testing.T) {
-	// Symptom: a request fails with "may have run" although no upstream saw
-	// it.
-	// Sequence: an upstream closes a kept connection while it is idle; the
-	// next request is sent on it.
-	// Cause: the write succeeds before the end of the connection is noticed.
+func TestClosedIdleConnection(t *testing.T) {
+	// Guards against a request that fails with "may have run" although no upstream
+	// saw it: an upstream closes an idle connection, and a write to it succeeds
+	// before the end of the connection is noticed.
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
 	got := u.call(c, "/first", Attempt{}, func(r *request) {
@@ -179,16 +177,16 @@
 	})
 	is.NoErr(got.err)
 	got = u.call(c, "/second", Attempt{}, func(r *request) { r.write(ok) })
-	// Either the end was there already, and nothing was written, or the
-	// library had dropped the connection and took a new one.
+	// Either the end of the connection was already visible and nothing was
+	// written, or the library had dropped the connection and opened a new one.
 	is.True(got.err == nil || jayverdict.Of(got.err) == jayverdict.NotRun)
 }
 
-func TestUpstreamThatAnswersTwice(t *testing.T) {
-	// Symptom: a caller receives another caller's answer.
-	// Sequence: an upstream sends a second answer that nobody asked for; the
-	// next request on the connection takes it for its own.
-	// Cause: HTTP/1.1 matches answers to requests by their order alone.
+func TestUnsolicitedAnswerIsDiscarded(t *testing.T) {
+	// Guards against a caller that receives another caller's answer: an upstream
+	// sends a second, unsolicited answer, and the next request on the connection
+	// takes it for its own, because HTTP/1.1 matches answers to requests by order
+	// alone.
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
 	var kept net.Conn
@@ -206,17 +204,16 @@
 	}
 }
 
-func TestLateAnswer(t *testing.T) {
-	// Symptom: a caller receives the answer to a request that timed out.
-	// Sequence: a request times out; its answer comes later on the same
-	// connection; another request is sent.
-	// Cause: a connection that was given up is used again.
+func TestLateAnswerIsDiscarded(t *testing.T) {
+	// Guards against a caller that receives the answer to a request that timed
+	// out: the answer arrives later on the same connection, and the connection is
+	// reused for another request.
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
 	var late *request
-	// The connection is opened first, and the timeout is long enough for a machine
-	// under load to write on it: a request that timed out before it was sent has not
-	// run, which is no matter of this test.
+	// The connection is opened first, and the timeout is long enough for a loaded
+	// machine to write the request: a request that timed out before it was sent
+	// has not run, which is not the case under test.
 	got := u.call(c, "/first", Attempt{}, func(r *request) { r.write(ok) })
 	is.NoErr(got.err)
 	got = u.call(c, "/slow", Attempt{Timeout: 250 * time.Millisecond}, func(r *request) { late = r })
@@ -261,7 +258,7 @@
 	})
 }
 
-func TestFreshConnection(t *testing.T) {
+func TestFreshOpensNewConnection(t *testing.T) {
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
 	var first, second string
@@ -271,10 +268,10 @@
 }
 
 func TestConnectionLimitChangesUnderLoad(t *testing.T) {
-	// Symptom: the race detector, now and then, in a test of late answers.
-	// Sequence: requests are under way while an entry joins and the share of
-	// connections changes.
-	// Cause: the library's limit was written without its lock.
+	// Guards against a data race on the connection limit, seen now and then in a
+	// test of late answers: the limit was written without the library's lock when
+	// an entry joined and the share of connections changed while requests were
+	// under way.
 	u, c := newUpstream(t), newClient()
 	go func() {
 		for r := range u.requests {
--- a/jayupstream/conn.go
+++ b/jayupstream/conn.go
@@ -7,20 +7,22 @@
 	"syscall"
 )
 
-// errUnwritten marks an error before the first byte of a request was written.
+// errUnwritten marks an error that occurred before any byte of a request was
+// written.
 var errUnwritten = errors.New("no byte of the request was written")
 
-// errStale is the cause when a kept connection was closed or sent bytes that
-// nobody asked for while it was idle.
-var errStale = errors.New("idle connection was closed or is out of step")
+// errStale is the cause if an idle connection was closed or received unsolicited
+// bytes.
+var errStale = errors.New("idle connection was closed or received unsolicited bytes")
 
-// countedConn knows whether a byte of the current request was written.
+// countedConn tracks whether a byte of the current request was written.
 //
-// An upstream may close a kept connection just when the next request is sent:
-// the caller would see a failure of which nobody knows whether it ran. And an
-// upstream that answered twice would have its second answer taken for the next
-// request's. Both show as a readable socket before anything was asked, so the
-// first write of each request looks for that and fails without sending a byte.
+// An upstream may close a kept-alive connection at the moment when the next
+// request is sent, and the caller would get a failure without knowing whether the
+// request ran. An upstream that sends two answers to one request would have the
+// second one taken for the answer to the next request. In both cases the socket is
+// readable before a request is sent, so the first write of each request checks for
+// that and fails without sending a byte.
 type countedConn struct {
 	net.Conn
 	raw     syscall.RawConn
@@ -52,7 +54,7 @@
 	return n, err
 }
 
-// Read takes bytes of an answer; the next write begins another request.
+// Read receives bytes of an answer. The next write begins another request.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -62,7 +64,7 @@
 	return n, err
 }
 
-// readable reports whether the socket has bytes or an end waiting.
+// readable reports whether the socket has unread bytes or has reached its end.
 func (c *countedConn) readable() bool {
 	if c.raw == nil {
 		return false
