--- a/jayedge/edge.go
+++ b/jayedge/edge.go
@@ -1,5 +1,6 @@
-// Package jayedge takes callers' connections: event loops of gnet below,
-// fasthttp's HTTP server above, joined by a pipe for each connection.
+// Package jayedge serves the connections of callers. The event loops of gnet
+// handle the sockets, the HTTP server of fasthttp handles the requests, and a pipe
+// connects the two for each connection.
 package jayedge
 
 import (
@@ -17,26 +18,28 @@
 	"github.com/valyala/fasthttp"
 )
 
-// stopPoll is how often a stop looks for connections that have become idle.
+// stopPoll is the interval at which Stop checks for connections that have become
+// idle.
 const stopPoll = 5 * time.Millisecond
 
-// headRoom is what a caller may send on top of the largest body.
+// headRoom is the number of bytes that a caller may send in addition to the
+// largest body.
 const headRoom = 64 << 10
 
-// Options are the limits of the edge.
+// Options are the settings of an Edge.
 type Options struct {
 	Addr            string
 	EventLoops      int
 	MaxRequestBytes int
 	MaxConns        int
-	// Idle bounds the time between two requests of a connection and the time
-	// to read one request.
+	// Idle limits the time between two requests on a connection and the time to
+	// read one request.
 	Idle time.Duration
-	// Write bounds the time that an answer waits for a slow caller.
+	// Write limits the time that an answer waits for a slow caller.
 	Write time.Duration
 }
 
-// Edge serves callers.
+// Edge accepts connections and requests from callers.
 type Edge struct {
 	gnet.BuiltinEventEngine
 
@@ -51,14 +54,15 @@
 	inFlight atomic.Int64
 	stopping atomic.Bool
 	closing  atomic.Bool
-	// lastRequest is when the last request came of an entry that is stopping.
+	// lastRequest is when the most recent request arrived while the entry was
+	// stopping.
 	lastRequest atomic.Pointer[time.Time]
 
 	mu    sync.Mutex
 	pipes map[*pipe]struct{}
 }
 
-// NewEdge returns an edge that gives requests to a handler.
+// NewEdge returns an Edge that passes requests to the handler.
 func NewEdge(options Options, handler fasthttp.RequestHandler, logger logr.Logger) *Edge {
 	e := &Edge{
 		options: options,
@@ -71,7 +75,7 @@
 	e.server = &fasthttp.Server{
 		Handler:                       e.handle,
 		ErrorHandler:                  e.handleError,
-		ConnState:                     noteState,
+		ConnState:                     markIdle,
 		Logger:                        quietLogger{},
 		NoDefaultServerHeader:         true,
 		NoDefaultDate:                 true,
@@ -92,10 +96,10 @@
 
 func (quietLogger) Printf(string, ...any) {}
 
-// Start opens the listener and returns when callers can connect.
+// Start opens the listener and returns once callers can connect.
 func (e *Edge) Start() error {
-	// The engine reports a taken port only after its loops were made; trying
-	// the address first gives a clear error.
+	// The engine reports an occupied port only after it has created its event
+	// loops. Probing the address first gives a clear error.
 	probe, err := net.Listen("tcp4", e.options.Addr)
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
@@ -106,7 +110,7 @@
 			gnet.WithNumEventLoop(e.options.EventLoops),
 			gnet.WithReuseAddr(true),
 			gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-			gnet.WithLogger(noLogger{}),
+			gnet.WithLogger(discardLogger{}),
 			gnet.WithLogLevel(logging.ErrorLevel),
 		)
 	}()
@@ -118,13 +122,14 @@
 	}
 }
 
-// drainLimit is how many graces a drain lasts at most: a caller that never looks
-// whether the entry is ready must not hold up its stop.
+// drainLimit is the maximum duration of a drain as a multiple of the grace time. A
+// caller that ignores the entry's readiness must not delay the stop any longer.
 const drainLimit = 2
 
-// Drain asks callers to close their connections after each answer, and returns when
-// no request has come for the grace. Until then new connections are served, since the
-// balancer needs a while to see that the entry is leaving, and longer when it is busy.
+// Drain asks callers to close their connections after each answer, and returns
+// once no request has arrived for the grace time. New connections are served until
+// then, because the load balancer needs some time to notice that the entry is
+// leaving, and more when it is busy.
 func (e *Edge) Drain(ctx context.Context, grace time.Duration) {
 	began := time.Now()
 	e.lastRequest.Store(&began)
@@ -147,21 +152,21 @@
 	}
 }
 
-// InFlight returns how many requests are being answered.
+// InFlight returns the number of requests that are being answered.
 func (e *Edge) InFlight() int64 {
 	return e.inFlight.Load()
 }
 
-// Conns returns how many callers are connected.
+// Conns returns the number of connected callers.
 func (e *Edge) Conns() int64 {
 	return e.conns.Load()
 }
 
-// ErrCut means that requests were still in flight at the end of the bound.
+// ErrCut means that requests were still in flight at the end of the time limit.
 var ErrCut = errors.New("stopped with requests in flight")
 
-// Stop takes no new connection, closes idle ones and waits until the last
-// request is answered, within the context. Then it ends the event loops.
+// Stop refuses new connections, closes idle ones and waits until all requests are
+// answered or the context ends. Then it ends the event loops.
 func (e *Edge) Stop(ctx context.Context) error {
 	e.stopping.Store(true)
 	e.closing.Store(true)
@@ -190,8 +195,8 @@
 	}
 }
 
-// closeIdle closes the connections without a request and returns how many are
-// still open.
+// closeIdle closes the connections that have no request under way. It returns the
+// number of connections that were open.
 func (e *Edge) closeIdle() int {
 	e.mu.Lock()
 	open := len(e.pipes)
@@ -221,7 +226,7 @@
 		return nil, gnet.Close
 	}
 	p := newPipe(c, e.options.MaxRequestBytes+headRoom)
-	p.openOwn()
+	p.openOwnFD()
 	c.SetContext(p)
 	e.mu.Lock()
 	e.pipes[p] = struct{}{}
@@ -255,8 +260,8 @@
 	return gnet.None
 }
 
-// noteState tells the pipe that its caller's last request was answered.
-func noteState(c net.Conn, state fasthttp.ConnState) {
+// markIdle marks the pipe as idle when its caller's last request is answered.
+func markIdle(c net.Conn, state fasthttp.ConnState) {
 	if p, ok := c.(*pipe); ok && state == fasthttp.StateIdle {
 		p.setIdle()
 	}
--- a/jayedge/edge_test.go
+++ b/jayedge/edge_test.go
@@ -19,7 +19,7 @@
 	"jaythread/jayverdict"
 )
 
-// newEdge starts an edge on loopback that echoes path and body.
+// newEdge starts an edge on the loopback interface.
 func newEdge(t *testing.T, handler fasthttp.RequestHandler, change func(*Options)) (*Edge, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -181,10 +181,10 @@
 	is.New(t).True(!ran)
 }
 
-func TestCallerThatFloodsIsClosed(t *testing.T) {
-	// Symptom: the entry's memory grows without bound.
-	// Sequence: a caller sends on while its first request is still handled.
-	// Cause: the event loop takes in bytes that nobody reads.
+func TestFloodingCallerIsDisconnected(t *testing.T) {
+	// Guards against memory that grows without bound: a caller keeps sending while
+	// its first request is being handled, and the event loop stores bytes that are
+	// not read.
 	is := is.New(t)
 	release := make(chan struct{})
 	_, addr := newEdge(t, func(*fasthttp.RequestCtx) { <-release }, func(o *Options) { o.MaxRequestBytes = 1024 })
@@ -209,10 +209,10 @@
 	is.True(got == body)
 }
 
-func TestCutStreamIsVisible(t *testing.T) {
-	// Symptom: a caller takes a part of an answer for the whole.
-	// Sequence: an upstream is cut in the middle of a chunked answer.
-	// Cause: the answer to the caller ends properly all the same.
+func TestTruncatedStreamIsVisible(t *testing.T) {
+	// Guards against a caller that takes a part of an answer for a complete one:
+	// an upstream is cut off in the middle of an answer, and the answer to the
+	// caller ends properly all the same.
 	_, addr := newEdge(t, func(ctx *fasthttp.RequestCtx) {
 		size := -1
 		if string(ctx.Path()) == "/sized" {
@@ -240,10 +240,9 @@
 }
 
 func TestGracefulStop(t *testing.T) {
-	// Symptom: a caller's request is cut when an entry is replaced.
-	// Sequence: a request is being answered, another connection is idle, a
-	// third has sent half a request; the entry stops.
-	// Cause: the listener's end took the connections with it.
+	// Guards against requests that are cut off when an entry is replaced: closing
+	// the listener also closed the connections, one with a request being answered,
+	// one idle and one that had sent half a request.
 	is := is.New(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	e, addr := newEdge(t, func(ctx *fasthttp.RequestCtx) {
@@ -281,8 +280,8 @@
 	is.NoErr(<-stopped)
 }
 
-// Guards against requests that are cut when the balancer sees late that an entry is
-// leaving.
+// TestDrainLastsWhileRequestsCome guards against requests that are cut off when
+// the load balancer notices late that an entry is leaving.
 func TestDrainLastsWhileRequestsCome(t *testing.T) {
 	const grace = 200 * time.Millisecond
 	drained := func(requestsFor time.Duration) time.Duration {
@@ -313,7 +312,7 @@
 	})
 }
 
-func TestStopAtItsBoundSaysWhatItCut(t *testing.T) {
+func TestStopReportsRequestsCutAtTimeout(t *testing.T) {
 	is := is.New(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	e, addr := newEdge(t, func(*fasthttp.RequestCtx) { close(entered); <-release }, nil)
@@ -325,7 +324,7 @@
 	is.True(errors.Is(e.Stop(ctx), ErrCut))
 }
 
-func TestTakenPort(t *testing.T) {
+func TestOccupiedPort(t *testing.T) {
 	is := is.New(t)
 	_, addr := newEdge(t, echo, nil)
 	second := NewEdge(Options{Addr: addr, EventLoops: 1, MaxRequestBytes: 1, MaxConns: 1}, echo, logr.Discard())
--- a/jayedge/handle.go
+++ b/jayedge/handle.go
@@ -11,12 +11,12 @@
 	"jaythread/jayverdict"
 )
 
-// handle counts the request and refuses framing that two parsers could read
-// in two ways.
+// handle counts the request and refuses framing that two parsers could interpret
+// differently.
 func (e *Edge) handle(ctx *fasthttp.RequestCtx) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	e.noteRequest()
+	e.recordRequest()
 	if reason := ambiguous(&ctx.Request.Header); reason != "" {
 		Refuse(ctx, jayverdict.NewNotRun(fasthttp.StatusBadRequest, reason, 0))
 		ctx.SetConnectionClose()
@@ -28,8 +28,8 @@
 	}
 }
 
-// noteRequest keeps when a request came while the entry is stopping.
-func (e *Edge) noteRequest() {
+// recordRequest stores the arrival time of a request while the entry is stopping.
+func (e *Edge) recordRequest() {
 	if !e.stopping.Load() {
 		return
 	}
@@ -37,8 +37,8 @@
 	e.lastRequest.Store(&now)
 }
 
-// handleError answers a request that could not be read. Its connection is
-// closed, since nobody knows where the next request would begin.
+// handleError answers a request that could not be parsed. Its connection is
+// closed, because the start of the next request is not known.
 func (e *Edge) handleError(ctx *fasthttp.RequestCtx, err error) {
 	status, reason := fasthttp.StatusBadRequest, "request cannot be read"
 	var small *fasthttp.ErrSmallBuffer
@@ -52,9 +52,10 @@
 	ctx.SetConnectionClose()
 }
 
-// ambiguous says why a request's framing could be read in two ways. A request
-// smuggled past one reader would run under another caller's name. The library
-// drops a length that stands beside an encoding, so the raw lines are read.
+// ambiguous returns the reason why the framing of a request is ambiguous, or an
+// empty string. A request smuggled past one parser would run under another
+// caller's name. The library drops a Content-Length that accompanies a
+// Transfer-Encoding, so the raw header lines are checked.
 func ambiguous(h *fasthttp.RequestHeader) string {
 	lengths, encodings := 0, 0
 	for line := range bytes.Lines(h.RawHeaders()) {
@@ -81,7 +82,7 @@
 	transferEncoding = []byte(fasthttp.HeaderTransferEncoding)
 )
 
-// Refuse writes an answer of the system's own with its verdict.
+// Refuse writes an answer of the entry itself, with its verdict.
 func Refuse(ctx *fasthttp.RequestCtx, e *jayverdict.Error) {
 	ctx.Response.Reset()
 	ctx.SetStatusCode(e.Status)
--- a/jayedge/logger.go
+++ b/jayedge/logger.go
@@ -1,20 +1,20 @@
 package jayedge
 
-// noLogger drops the engine's own log lines: it writes of connections that
-// callers reset, which is no fault of ours, in a format of its own.
-type noLogger struct{}
+// discardLogger discards the log messages of the engine. They report connections
+// reset by callers, which is not a fault of the entry, and use another format.
+type discardLogger struct{}
 
-// Debugf drops a line.
-func (noLogger) Debugf(string, ...any) {}
+// Debugf discards a message.
+func (discardLogger) Debugf(string, ...any) {}
 
-// Infof drops a line.
-func (noLogger) Infof(string, ...any) {}
+// Infof discards a message.
+func (discardLogger) Infof(string, ...any) {}
 
-// Warnf drops a line.
-func (noLogger) Warnf(string, ...any) {}
+// Warnf discards a message.
+func (discardLogger) Warnf(string, ...any) {}
 
-// Errorf drops a line.
-func (noLogger) Errorf(string, ...any) {}
+// Errorf discards a message.
+func (discardLogger) Errorf(string, ...any) {}
 
-// Fatalf drops a line.
-func (noLogger) Fatalf(string, ...any) {}
+// Fatalf discards a message.
+func (discardLogger) Fatalf(string, ...any) {}
--- a/jayedge/pipe.go
+++ b/jayedge/pipe.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// maxOutbound is how much of an answer may wait in the event loop for a
-	// slow caller before the writer has to wait.
+	// maxOutbound limits the bytes of an answer that are buffered in the event
+	// loop for a slow caller. Beyond it the writer waits.
 	maxOutbound = 256 << 10
-	// outboundPoll is how often a waiting writer looks whether there is room.
+	// outboundPoll is the interval at which a waiting writer checks for free
+	// space.
 	outboundPoll = 5 * time.Millisecond
 )
 
-// pipe is a net.Conn over a connection of the event loop. The loop puts in
-// what arrives and never waits for the reader; it closes a caller that sends
-// more than the limit while nobody reads.
+// pipe is a net.Conn on top of a connection of the event loop. The loop appends
+// the received bytes and never waits for the reader. It closes the connection of a
+// caller that sends more than the limit of unread bytes.
 type pipe struct {
 	conn   gnet.Conn
 	local  net.Addr
@@ -41,35 +42,36 @@
 	writeDeadline time.Time
 	active        bool
 
-	// handed receives the event loop's word on each write. One goroutine
+	// written receives the event loop's result of each write. Only one goroutine
 	// writes at a time.
-	handed   chan handedOver
+	written  chan writeResult
 	callback gnet.AsyncCallback
 
-	// own is a descriptor of this pipe's own for the caller's socket, or -1.
-	// The loop's descriptor must not be written to from here: the loop may
-	// close it at any moment, and its number may be another caller's next.
+	// ownFD is the pipe's own duplicate of the descriptor of the caller's socket,
+	// or -1. The event loop's descriptor must not be written to from here: the
+	// loop may close it at any time, and its number may then be reused for another
+	// caller.
 	writeMu sync.Mutex
-	own     int
-	// behind says that bytes wait in the loop, so that no later ones may pass
-	// them.
-	behind bool
+	ownFD   int
+	// queued is set while bytes are buffered in the event loop, so that later
+	// bytes are not sent before them.
+	queued bool
 }
 
 func newPipe(c gnet.Conn, limit int) *pipe {
 	p := &pipe{conn: c, local: c.LocalAddr(), remote: c.RemoteAddr(), limit: limit}
-	p.own = -1
+	p.ownFD = -1
 	p.readable = sync.NewCond(&p.mu)
-	p.handed = make(chan handedOver, 1)
+	p.written = make(chan writeResult, 1)
 	p.callback = func(c gnet.Conn, err error) error {
-		p.handed <- handedOver{waiting: outbound(c), err: err}
+		p.written <- writeResult{waiting: outbound(c), err: err}
 		return nil
 	}
 	return p
 }
 
-// put adds what arrived; it returns false if the limit is passed. Only the
-// event loop calls it.
+// put appends received bytes. It returns false if the pipe is closed or the limit
+// would be exceeded. Only the event loop calls it.
 func (p *pipe) put(data []byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +91,7 @@
 
 // shut ends the pipe when the connection has ended.
 func (p *pipe) shut() {
-	p.closeOwn()
+	p.closeOwnFD()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -105,9 +107,9 @@
 	p.active = false
 }
 
-// idle reports whether no request is under way and no byte of one has come,
-// also none that the event loop has not read yet: closing a socket with unread
-// bytes would reset a request that the caller has sent already.
+// idle reports whether no request is under way and no byte of one has arrived.
+// This includes bytes that the event loop has not read yet, because closing a
+// socket with unread bytes would reset a request that the caller has already sent.
 func (p *pipe) idle() bool {
 	p.mu.Lock()
 	quiet := !p.active && p.start == len(p.buffer)
@@ -118,15 +120,15 @@
 func (p *pipe) unread() bool {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
-	if p.own < 0 {
+	if p.ownFD < 0 {
 		return false
 	}
 	var peek [1]byte
-	n, _, err := unix.Recvfrom(p.own, peek[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	n, _, err := unix.Recvfrom(p.ownFD, peek[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == nil && n > 0
 }
 
-// Read waits for bytes, the end or the deadline.
+// Read waits for bytes, the end of the connection or the deadline.
 func (p *pipe) Read(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +150,7 @@
 	return n, nil
 }
 
-// release gives the buffer's memory back, so that an idle caller costs little.
+// release frees a large buffer, so that an idle caller uses little memory.
 func (p *pipe) release() {
 	p.start = 0
 	const keep = 4096
@@ -163,8 +165,8 @@
 	return !p.readDeadline.IsZero() && !time.Now().Before(p.readDeadline)
 }
 
-// Write sends bytes at once as far as the socket takes them, hands the rest to
-// the event loop, and returns when that waits in the loop's bounded buffer.
+// Write sends as many bytes as the socket accepts at once, passes the rest to the
+// event loop, and returns once they are in the loop's bounded buffer.
 func (p *pipe) Write(b []byte) (int, error) {
 	sent, err := p.writeNow(b)
 	if err != nil {
@@ -173,30 +175,30 @@
 	if sent == len(b) {
 		return sent, nil
 	}
-	if err := p.handOver(b[sent:]); err != nil {
+	if err := p.writeThroughLoop(b[sent:]); err != nil {
 		return sent, err
 	}
 	return len(b), nil
 }
 
-// writeNow writes to the socket without waiting. It spares the way through
-// the event loop, which wakes another thread for each answer.
+// writeNow writes to the socket without waiting. It avoids the event loop, which
+// would wake another thread for each answer.
 func (p *pipe) writeNow(b []byte) (int, error) {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
-	if p.behind || p.own < 0 {
+	if p.queued || p.ownFD < 0 {
 		return 0, nil
 	}
 	sent := 0
 	for sent < len(b) {
-		n, err := unix.Write(p.own, b[sent:])
+		n, err := unix.Write(p.ownFD, b[sent:])
 		if n > 0 {
 			sent += n
 		}
 		switch {
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.EAGAIN):
-			p.behind = true
+			p.queued = true
 			return sent, nil
 		case err != nil:
 			return sent, fmt.Errorf("write to caller: %w", err)
@@ -205,35 +207,35 @@
 	return sent, nil
 }
 
-// openOwn takes a descriptor of the pipe's own. Without one, writes go through
-// the loop. Only the event loop calls it.
-func (p *pipe) openOwn() {
+// openOwnFD duplicates the descriptor of the connection. If that fails, writes go
+// through the event loop. Only the event loop calls it.
+func (p *pipe) openOwnFD() {
 	fd, err := p.conn.Dup()
 	if err != nil {
 		return
 	}
-	p.own = fd
+	p.ownFD = fd
 }
 
-func (p *pipe) closeOwn() {
+func (p *pipe) closeOwnFD() {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
-	if p.own >= 0 {
-		_ = unix.Close(p.own)
-		p.own = -1
+	if p.ownFD >= 0 {
+		_ = unix.Close(p.ownFD)
+		p.ownFD = -1
 	}
 }
 
-type handedOver struct {
+type writeResult struct {
 	waiting int
 	err     error
 }
 
-func (p *pipe) handOver(b []byte) error {
+func (p *pipe) writeThroughLoop(b []byte) error {
 	if err := p.conn.AsyncWrite(b, p.callback); err != nil {
 		return err
 	}
-	result := <-p.handed
+	result := <-p.written
 	for result.err == nil && result.waiting > maxOutbound {
 		if p.pastWriteDeadline() {
 			_ = p.Close()
@@ -243,10 +245,10 @@
 		if err := p.conn.Wake(p.callback); err != nil {
 			return err
 		}
-		result = <-p.handed
+		result = <-p.written
 	}
 	p.writeMu.Lock()
-	p.behind = result.waiting > 0
+	p.queued = result.waiting > 0
 	p.writeMu.Unlock()
 	return result.err
 }
@@ -264,7 +266,7 @@
 	return p.closed || !p.writeDeadline.IsZero() && !time.Now().Before(p.writeDeadline)
 }
 
-// Close closes the caller's connection after what was written.
+// Close closes the caller's connection after the bytes written so far.
 func (p *pipe) Close() error {
 	p.shut()
 	return p.conn.Close()
@@ -276,15 +278,15 @@
 // RemoteAddr returns the caller's address.
 func (p *pipe) RemoteAddr() net.Addr { return p.remote }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the read and write deadlines.
 func (p *pipe) SetDeadline(t time.Time) error {
 	_ = p.SetReadDeadline(t)
 	return p.SetWriteDeadline(t)
 }
 
-// SetReadDeadline wakes a waiting read at the deadline. Each request moves the
-// deadline on, so the timer is set anew only when it would ring too late, or
-// has rung too early.
+// SetReadDeadline wakes a waiting read at the deadline. Each request extends the
+// deadline, so the timer is reset only if it would fire too late, or after it has
+// fired too early.
 func (p *pipe) SetReadDeadline(t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -294,22 +296,22 @@
 	}
 	if p.readTimer == nil {
 		p.timerAt = t
-		p.readTimer = time.AfterFunc(time.Until(t), p.ring)
+		p.readTimer = time.AfterFunc(time.Until(t), p.onReadTimer)
 		return nil
 	}
 	if t.Before(p.timerAt) {
-		p.rearm(t)
+		p.resetReadTimer(t)
 	}
 	return nil
 }
 
-func (p *pipe) rearm(t time.Time) {
+func (p *pipe) resetReadTimer(t time.Time) {
 	p.timerAt = t
 	p.readTimer.Reset(time.Until(t))
 }
 
-// ring is called by the timer.
-func (p *pipe) ring() {
+// onReadTimer is called when the read timer fires.
+func (p *pipe) onReadTimer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.readDeadline.IsZero() {
@@ -322,10 +324,10 @@
 		p.readTimer = nil
 		return
 	}
-	p.rearm(p.readDeadline)
+	p.resetReadTimer(p.readDeadline)
 }
 
-// SetWriteDeadline bounds the wait for a slow caller.
+// SetWriteDeadline limits the wait for a slow caller.
 func (p *pipe) SetWriteDeadline(t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
