--- a/jayentry/claims_test.go
+++ b/jayentry/claims_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestPaymentRunsOnce(t *testing.T) {
-	t.Run("sent to all entries at once", func(t *testing.T) {
+	t.Run("a payment sent to all entries at once runs once", func(t *testing.T) {
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			answers := payConcurrently("k", w.nodes...)
@@ -52,7 +52,7 @@
 			is.Equal(countStatus(answers, 200), 8) // the first request ran, the others got its stored answer
 		})
 	})
-	t.Run("sent again minutes later to another entry", func(t *testing.T) {
+	t.Run("a repeat at another entry minutes later gets the stored answer", func(t *testing.T) {
 		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			is.Equal(w.nodes[0].pay("k").status, 200)
@@ -63,7 +63,7 @@
 			is.Equal(w.runsOf("k"), 1)
 		})
 	})
-	t.Run("sent again after the entry that ran it is lost", func(t *testing.T) {
+	t.Run("a repeat gets the stored answer after the entry that ran the payment is lost", func(t *testing.T) {
 		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			is.Equal(w.nodes[0].pay("k").status, 200)
@@ -73,7 +73,7 @@
 			is.Equal(w.runsOf("k"), 1)
 		})
 	})
-	t.Run("the entry is lost while it runs", func(t *testing.T) {
+	t.Run("a repeat gets the verdict MayHaveRun if the entry is lost during the payment", func(t *testing.T) {
 		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.setUpstream(func(_ string, r *http.Request, _ string, _ net.Conn) bool {
@@ -90,7 +90,7 @@
 			is.Equal(w.runsOf("k"), 1)
 		})
 	})
-	t.Run("another caller's same key is another payment", func(t *testing.T) {
+	t.Run("a key that is reused with another body is refused", func(t *testing.T) {
 		withCluster(t, 2, func(w *cluster) {
 			is := is.New(w.t)
 			is.Equal(w.nodes[0].pay("k").status, 200)
@@ -107,7 +107,7 @@
 	// of the log: a claim that only the log stores is unknown to the other entries
 	// when the payment reaches two of them, or when the entry that ran it just
 	// before is lost.
-	t.Run("runs once", func(t *testing.T) {
+	t.Run("a payment repeated at another entry runs once", func(t *testing.T) {
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			w.takeLogDown()
@@ -116,7 +116,7 @@
 			is.Equal(w.runsOf("k"), 1)
 		})
 	})
-	t.Run("runs once at two entries at once", func(t *testing.T) {
+	t.Run("a payment sent to two entries at once runs at most once", func(t *testing.T) {
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			w.takeLogDown()
@@ -127,7 +127,7 @@
 			}
 		})
 	})
-	t.Run("only the first one waits for the log", func(t *testing.T) {
+	t.Run("only the first payment waits for the log", func(t *testing.T) {
 		// Guards against a p99 latency that rises to the claim timeout for two
 		// seconds: if only the age of the last read decides, each payment waits
 		// for the failed log in turn.
@@ -140,7 +140,7 @@
 			is.True(time.Since(began) < 50*time.Millisecond) // on the fake clock
 		})
 	})
-	t.Run("two entries are lost, the rest goes on", func(t *testing.T) {
+	t.Run("payments run while two entries are lost", func(t *testing.T) {
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			w.takeLogDown()
@@ -152,7 +152,7 @@
 			is.Equal(w.runsOf("k"), 1)
 		})
 	})
-	t.Run("three entries are lost, first payments are refused", func(t *testing.T) {
+	t.Run("new payments are refused while three entries are lost", func(t *testing.T) {
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			w.takeLogDown()
@@ -165,7 +165,7 @@
 			is.Equal(w.nodes[4].read().status, 200)
 		})
 	})
-	t.Run("a silent entry may know the claim", func(t *testing.T) {
+	t.Run("a new payment is refused while a peer is unreachable", func(t *testing.T) {
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			w.takeLogDown()
@@ -174,7 +174,7 @@
 			is.Equal(got.verdict, jayverdict.NotRun)
 		})
 	})
-	t.Run("it ran just before the log went down", func(t *testing.T) {
+	t.Run("a payment made just before the outage runs once", func(t *testing.T) {
 		// The other entries have not read the claim from the log yet.
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
@@ -190,7 +190,7 @@
 			is.Equal(w.runsOf("k"), 1)
 		})
 	})
-	t.Run("an entry that starts after the outage knows of it", func(t *testing.T) {
+	t.Run("an entry that starts after the outage knows of the payment", func(t *testing.T) {
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			w.takeLogDown()
@@ -264,7 +264,7 @@
 		is.Equal(w.nodes[1].pay("k").status, 200)
 		is.Equal(w.runsOf("k"), 1)
 	})
-	t.Run("also while the log is down", func(t *testing.T) {
+	t.Run("a refused payment runs later while the log is down", func(t *testing.T) {
 		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.takeLogDown()
--- a/jayentry/requests_test.go
+++ b/jayentry/requests_test.go
@@ -49,7 +49,7 @@
 const refusal = "Jaythread-Verdict: notRun"
 
 func TestRetries(t *testing.T) {
-	t.Run("an idempotent request is tried at another upstream", func(t *testing.T) {
+	t.Run("an idempotent request is retried at another upstream", func(t *testing.T) {
 		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
 			for range 10 {
@@ -66,7 +66,7 @@
 			}
 		})
 	})
-	t.Run("a payment that may have run is not", func(t *testing.T) {
+	t.Run("a payment that may have run is not retried", func(t *testing.T) {
 		// Guards against a double payment: an upstream runs the payment and fails
 		// before it answers, and the entry retries at another upstream as if the
 		// request had been lost.
@@ -85,7 +85,7 @@
 			is.Equal(seen.sum(), 2)
 		})
 	})
-	t.Run("a payment that an upstream refused by contract is", func(t *testing.T) {
+	t.Run("a payment that an upstream refused as not run is retried", func(t *testing.T) {
 		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
 			var seen attemptCounter
@@ -100,7 +100,7 @@
 			is.Equal(w.nodes[0].pay("k").status, 200)
 		})
 	})
-	t.Run("they stay a small share when everything fails", func(t *testing.T) {
+	t.Run("retries stay a small share of requests when every attempt fails", func(t *testing.T) {
 		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
 			var seen attemptCounter
@@ -167,7 +167,7 @@
 	// Guards against new requests to a leaving upstream for as long as the
 	// instance list lags: it refuses a request of one entry and closes the
 	// connection, and the other entries learn of it only from the list.
-	t.Run("all entries learn from the first refusal", func(t *testing.T) {
+	t.Run("all entries avoid a leaving upstream after its first refusal", func(t *testing.T) {
 		withCluster(t, 8, func(w *cluster) {
 			is := is.New(w.t)
 			var seen attemptCounter
@@ -196,7 +196,7 @@
 			is.Equal(seen.sum(), before)
 		})
 	})
-	t.Run("the list's word ends it, and gives it back", func(t *testing.T) {
+	t.Run("the instance list removes an upstream and adds it again", func(t *testing.T) {
 		withCluster(t, 2, func(w *cluster) {
 			is := is.New(w.t)
 			w.setWorker("fees-0", jayplatform.Leaving)
--- a/jayentry/state_test.go
+++ b/jayentry/state_test.go
@@ -107,7 +107,7 @@
 }
 
 func TestEntryThatStartsWhileTheLogIsDown(t *testing.T) {
-	t.Run("takes the state of a peer and serves", func(t *testing.T) {
+	t.Run("an entry with a peer adopts its state and serves requests", func(t *testing.T) {
 		withCluster(t, 3, func(w *cluster) {
 			is := is.New(w.t)
 			w.log.SetFaults(jaystandin.LogFaults{Down: true})
@@ -117,7 +117,7 @@
 			is.Equal(fresh.read().status, 200)
 		})
 	})
-	t.Run("refuses as not run without a peer, and says why", func(t *testing.T) {
+	t.Run("an entry without a peer refuses requests as not run and is not ready", func(t *testing.T) {
 		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
 			w.log.SetFaults(jaystandin.LogFaults{Down: true})
@@ -130,7 +130,7 @@
 			is.True(fresh.entry.Ready() != nil)
 		})
 	})
-	t.Run("refuses a damaged state", func(t *testing.T) {
+	t.Run("an entry rejects a damaged snapshot", func(t *testing.T) {
 		withCluster(t, 2, func(w *cluster) {
 			is := is.New(w.t)
 			snapshot, err := w.nodes[0].entry.store.Snapshot()
@@ -242,7 +242,7 @@
 	// Guards against an entry that routes to an instance which the other entries
 	// know has moved: the entry is isolated while the instance drains and moves,
 	// and no other entry confirms its view.
-	t.Run("from the log only, it follows its peers", func(t *testing.T) {
+	t.Run("an entry cut off from the log follows its peers", func(t *testing.T) {
 		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.nodes[3].set(func(n *node) { n.cutLog = true })
@@ -252,7 +252,7 @@
 			is.Equal(w.nodes[3].read().status, 200)
 		})
 	})
-	t.Run("from its peers only, it follows the log", func(t *testing.T) {
+	t.Run("an entry cut off from its peers follows the log", func(t *testing.T) {
 		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.nodes[3].set(func(n *node) { n.cutPeer = true })
@@ -262,7 +262,7 @@
 			is.Equal(w.nodes[3].read().status, 200)
 		})
 	})
-	t.Run("from both, it refuses as not run within the lease", func(t *testing.T) {
+	t.Run("an entry cut off from the log and its peers refuses requests after its view lease", func(t *testing.T) {
 		withCluster(t, 4, func(w *cluster) {
 			is := is.New(w.t)
 			w.nodes[3].set(func(n *node) { n.cutLog, n.cutPeer = true, true })
@@ -283,7 +283,7 @@
 	// with a process that was stopped and continued in the middle of a wave: the
 	// entry resumes, reads the log and hears its peers, and serves before its view
 	// is rebuilt because the freshness of the log is taken for that of the view.
-	t.Run("the log was read, the view not made anew", func(t *testing.T) {
+	t.Run("the view is unusable until it is rebuilt", func(t *testing.T) {
 		withCluster(t, 3, func(w *cluster) {
 			is := is.New(w.t)
 			e := w.nodes[0].entry
@@ -298,7 +298,7 @@
 			is.True(e.viewUsable())
 		})
 	})
-	t.Run("peers are heard that are ahead", func(t *testing.T) {
+	t.Run("the view is unusable while peers are ahead", func(t *testing.T) {
 		withCluster(t, 3, func(w *cluster) {
 			is := is.New(w.t)
 			woken := w.nodes[2]
