--- a/jayclaim/claimer_test.go
+++ b/jayclaim/claimer_test.go
@@ -53,7 +53,7 @@
 func TestTable(t *testing.T) {
 	now := time.Unix(0, 0)
 	key := NewKey("caller", "k")
-	t.Run("an undecided claim gives way to one that is ahead", func(t *testing.T) {
+	t.Run("an undecided claim is replaced by a claim that is ahead", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
 		mine := newClaim("a", key, false)
@@ -64,7 +64,7 @@
 		is.True(granted)
 		is.True(!table.Decide(mine))
 	})
-	t.Run("a decided claim gives way to none", func(t *testing.T) {
+	t.Run("a decided claim is not replaced", func(t *testing.T) {
 		// Guards against a payment that runs twice: an entry runs it under a claim
 		// that all peers granted, another entry's claim becomes the first in the
 		// log, and the running claim is withdrawn as if it were still undecided.
@@ -77,7 +77,7 @@
 		is.True(!granted)
 		is.Equal(holder.Id, "a")
 	})
-	t.Run("the first of the log holds the key", func(t *testing.T) {
+	t.Run("the first claim in the log holds the key", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
 		is.True(table.Fold(newClaim("a", key, false), now))
@@ -85,7 +85,7 @@
 		holder, _ := table.Holder(key)
 		is.Equal(holder.Id, "a")
 	})
-	t.Run("a released claim that comes late holds nothing", func(t *testing.T) {
+	t.Run("a claim that arrives after its release does not hold the key", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
 		table.Release(newClaim("a", key, false), now)
