--- a/jayroute/pool_test.go
+++ b/jayroute/pool_test.go
@@ -88,7 +88,7 @@
 }
 
 func TestQueue(t *testing.T) {
-	t.Run("the highest priority goes first, callers in turn", func(t *testing.T) {
+	t.Run("the highest priority is served first, and callers take turns", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 100)
@@ -136,7 +136,7 @@
 			is.Equal(jayverdict.Of(<-first), jayverdict.NotRun) // the urgent request keeps the slot
 		})
 	})
-	t.Run("the wait is bounded", func(t *testing.T) {
+	t.Run("a request is refused when its wait time ends", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 10)
@@ -149,7 +149,7 @@
 			is.Equal(p.Waiting(), 0)
 		})
 	})
-	t.Run("an upstream that comes takes from the queue", func(t *testing.T) {
+	t.Run("a new upstream serves queued requests", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 10)
@@ -193,7 +193,7 @@
 }
 
 func TestEjection(t *testing.T) {
-	t.Run("a failing upstream is left out and comes back", func(t *testing.T) {
+	t.Run("a failing upstream is ejected and used again later", func(t *testing.T) {
 		is := is.New(t)
 		now := time.Unix(100, 0)
 		p := newPool(4, 100, 10, WithNow(func() time.Time { return now }))
