--- a/jayupstream/client_test.go
+++ b/jayupstream/client_test.go
@@ -105,18 +105,18 @@
 		handle func(r *request)
 		want   jayverdict.Verdict
 	}{
-		{"closed before an answer", func(r *request) { _ = r.conn.Close() }, jayverdict.MayHaveRun},
-		{"closed in the head", func(r *request) { r.write("HTTP/1.1 200"); _ = r.conn.Close() }, jayverdict.MayHaveRun},
-		{"cut body", func(r *request) {
+		{"the connection is closed before the answer", func(r *request) { _ = r.conn.Close() }, jayverdict.MayHaveRun},
+		{"the connection is closed within the status line", func(r *request) { r.write("HTTP/1.1 200"); _ = r.conn.Close() }, jayverdict.MayHaveRun},
+		{"the body is truncated", func(r *request) {
 			r.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart")
 			_ = r.conn.Close()
 		}, jayverdict.MayHaveRun},
-		{"cut chunks", func(r *request) {
+		{"the chunked body is truncated", func(r *request) {
 			r.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")
 			_ = r.conn.Close()
 		}, jayverdict.MayHaveRun},
-		{"no HTTP", func(r *request) { r.write("hello\r\n\r\n"); _ = r.conn.Close() }, jayverdict.MayHaveRun},
-		{"refused by contract", func(r *request) {
+		{"the answer is not HTTP", func(r *request) { r.write("hello\r\n\r\n"); _ = r.conn.Close() }, jayverdict.MayHaveRun},
+		{"the upstream refuses the request as not run", func(r *request) {
 			r.write("HTTP/1.1 503 Busy\r\nJaythread-Verdict: notRun\r\nContent-Length: 0\r\n\r\n")
 		}, jayverdict.NotRun},
 	}
@@ -128,14 +128,14 @@
 			is.Equal(jayverdict.Of(got.err), c.want)
 		})
 	}
-	t.Run("a plain 503 ran", func(t *testing.T) {
+	t.Run("a 503 answer without a verdict is not an error", func(t *testing.T) {
 		is := is.New(t)
 		got := newUpstream(t).call(newClient(), "/", Attempt{}, func(r *request) {
 			r.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		})
 		is.NoErr(got.err)
 	})
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("a request to a closed port has not run", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		is := is.New(t)
 		is.NoErr(err)
@@ -143,7 +143,7 @@
 		_, err = newClient().Do(Attempt{Addr: listener.Addr().String(), Connections: 1, Timeout: time.Second}, &fasthttp.Request{})
 		is.Equal(jayverdict.Of(err), jayverdict.NotRun)
 	})
-	t.Run("leaving is told from busy", func(t *testing.T) {
+	t.Run("a leaving upstream is distinguished from a busy one", func(t *testing.T) {
 		is := is.New(t)
 		got := newUpstream(t).call(newClient(), "/", Attempt{}, func(r *request) {
 			r.write("HTTP/1.1 503 Busy\r\nConnection: close\r\nJaythread-Verdict: notRun\r\nContent-Length: 0\r\n\r\n")
@@ -227,7 +227,7 @@
 func TestLargeAnswerIsStreamed(t *testing.T) {
 	body := strings.Repeat("x", 5000)
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n"
-	t.Run("whole", func(t *testing.T) {
+	t.Run("a complete answer is read to its end", func(t *testing.T) {
 		is := is.New(t)
 		got := newUpstream(t).call(newClient(), "/", Attempt{}, func(r *request) { r.write(head + body) })
 		is.NoErr(got.err)
@@ -237,7 +237,7 @@
 		is.Equal(string(got.result.Body)+string(rest), body)
 		is.NoErr(got.result.Rest.Close())
 	})
-	t.Run("cut", func(t *testing.T) {
+	t.Run("a truncated answer returns an error", func(t *testing.T) {
 		is := is.New(t)
 		got := newUpstream(t).call(newClient(), "/", Attempt{}, func(r *request) {
 			r.write(head + body[:3000])
@@ -248,7 +248,7 @@
 		is.True(err != nil)
 		_ = got.result.Rest.Close()
 	})
-	t.Run("chunked", func(t *testing.T) {
+	t.Run("a chunked answer is decoded", func(t *testing.T) {
 		is := is.New(t)
 		got := newUpstream(t).call(newClient(), "/", Attempt{}, func(r *request) {
 			r.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n2\r\n s\r\n0\r\n\r\n")
