--- a/jayedge/edge_test.go
+++ b/jayedge/edge_test.go
@@ -114,19 +114,19 @@
 
 func TestBodies(t *testing.T) {
 	_, addr := newEdge(t, echo, nil)
-	t.Run("large", func(t *testing.T) {
+	t.Run("a large body is read completely", func(t *testing.T) {
 		c := connect(t, addr)
 		c.write("POST /big HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n" + strings.Repeat("x", 1000000))
 		_, body, _ := c.answer()
 		is.New(t).Equal(body, "/big 1000000")
 	})
-	t.Run("chunked", func(t *testing.T) {
+	t.Run("a chunked body is decoded", func(t *testing.T) {
 		c := connect(t, addr)
 		c.write("POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 		_, body, _ := c.answer()
 		is.New(t).Equal(body, "/c 5")
 	})
-	t.Run("after 100 Continue", func(t *testing.T) {
+	t.Run("a body is read after 100 Continue", func(t *testing.T) {
 		is := is.New(t)
 		c := connect(t, addr)
 		c.write("POST /e HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -139,7 +139,7 @@
 		_, body, _ := c.answer()
 		is.Equal(body, "/e 2")
 	})
-	t.Run("byte by byte", func(t *testing.T) {
+	t.Run("a request that arrives byte by byte is read completely", func(t *testing.T) {
 		c := connect(t, addr)
 		for _, b := range []byte("POST /s HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc") {
 			c.write(string(b))
@@ -159,13 +159,13 @@
 		name, text string
 		status     int
 	}{
-		{"both framings", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-		{"two lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde", 400},
-		{"no number", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: x\r\n\r\n", 400},
-		{"unknown encoding", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip\r\nContent-Length: 3\r\n\r\nabc", 400},
-		{"body too large", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000000\r\n\r\n", 413},
-		{"header too large", "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("x", 20000) + "\r\n\r\n", 431},
-		{"no HTTP", "hello\r\n\r\n", 400},
+		{"Content-Length and Transfer-Encoding are both present", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{"two values of Content-Length differ", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde", 400},
+		{"Content-Length is not a number", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: x\r\n\r\n", 400},
+		{"Transfer-Encoding is unknown", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip\r\nContent-Length: 3\r\n\r\nabc", 400},
+		{"the body is too large", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000000\r\n\r\n", 413},
+		{"the header is too large", "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("x", 20000) + "\r\n\r\n", 431},
+		{"the request is not HTTP", "hello\r\n\r\n", 400},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -300,13 +300,13 @@
 		}
 		return <-drain
 	}
-	t.Run("no request", func(t *testing.T) {
+	t.Run("a drain without requests lasts the grace period", func(t *testing.T) {
 		is.New(t).True(drained(0) >= grace)
 	})
-	t.Run("requests for a part of a grace", func(t *testing.T) {
+	t.Run("requests during the grace period extend the drain", func(t *testing.T) {
 		is.New(t).True(drained(grace/2) >= grace*5/4)
 	})
-	t.Run("requests without end", func(t *testing.T) {
+	t.Run("continuous requests do not extend the drain without limit", func(t *testing.T) {
 		lasted := drained(5 * grace)
 		is.New(t).True(lasted >= 2*grace && lasted < 4*grace)
 	})
