--- a/jayedge/edge_test.go
+++ b/jayedge/edge_test.go
@@ -19,7 +19,7 @@
 	"jaythread/jayverdict"
 )
 
-// newEdge starts an edge on loopback that echoes path and body.
+// newEdge starts an edge on the loopback interface.
 func newEdge(t *testing.T, handler fasthttp.RequestHandler, change func(*Options)) (*Edge, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,19 +114,19 @@
 
 func TestBodies(t *testing.T) {
 	_, addr := newEdge(t, echo, nil)
-	t.Run("large", func(t *testing.T) {
+	t.Run("a large body is read completely", func(t *testing.T) {
 		c := connect(t, addr)
 		c.write("POST /big HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n" + strings.Repeat("x", 1000000))
 		_, body, _ := c.answer()
 		is.New(t).Equal(body, "/big 1000000")
 	})
-	t.Run("chunked", func(t *testing.T) {
+	t.Run("a chunked body is decoded", func(t *testing.T) {
 		c := connect(t, addr)
 		c.write("POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 		_, body, _ := c.answer()
 		is.New(t).Equal(body, "/c 5")
 	})
-	t.Run("after 100 Continue", func(t *testing.T) {
+	t.Run("a body is read after 100 Continue", func(t *testing.T) {
 		is := is.New(t)
 		c := connect(t, addr)
 		c.write("POST /e HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -139,7 +139,7 @@
 		_, body, _ := c.answer()
 		is.Equal(body, "/e 2")
 	})
-	t.Run("byte by byte", func(t *testing.T) {
+	t.Run("a request that arrives byte by byte is read completely", func(t *testing.T) {
 		c := connect(t, addr)
 		for _, b := range []byte("POST /s HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc") {
 			c.write(string(b))
@@ -159,13 +159,13 @@
 		name, text string
 		status     int
 	}{
-		{"both framings", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-		{"two lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde", 400},
-		{"no number", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: x\r\n\r\n", 400},
-		{"unknown encoding", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip\r\nContent-Length: 3\r\n\r\nabc", 400},
-		{"body too large", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000000\r\n\r\n", 413},
-		{"header too large", "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("x", 20000) + "\r\n\r\n", 431},
-		{"no HTTP", "hello\r\n\r\n", 400},
+		{"Content-Length and Transfer-Encoding are both present", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{"two values of Content-Length differ", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde", 400},
+		{"Content-Length is not a number", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: x\r\n\r\n", 400},
+		{"Transfer-Encoding is unknown", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip\r\nContent-Length: 3\r\n\r\nabc", 400},
+		{"the body is too large", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000000\r\n\r\n", 413},
+		{"the header is too large", "GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("x", 20000) + "\r\n\r\n", 431},
+		{"the request is not HTTP", "hello\r\n\r\n", 400},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -181,10 +181,10 @@
 	is.New(t).True(!ran)
 }
 
-func TestCallerThatFloodsIsClosed(t *testing.T) {
-	// Symptom: the entry's memory grows without bound.
-	// Sequence: a caller sends on while its first request is still handled.
-	// Cause: the event loop takes in bytes that nobody reads.
+func TestFloodingCallerIsDisconnected(t *testing.T) {
+	// Guards against memory that grows without bound: a caller keeps sending while
+	// its first request is being handled, and the event loop stores bytes that are
+	// not read.
 	is := is.New(t)
 	release := make(chan struct{})
 	_, addr := newEdge(t, func(*fasthttp.RequestCtx) { <-release }, func(o *Options) { o.MaxRequestBytes = 1024 })
@@ -209,10 +209,10 @@
 	is.True(got == body)
 }
 
-func TestCutStreamIsVisible(t *testing.T) {
-	// Symptom: a caller takes a part of an answer for the whole.
-	// Sequence: an upstream is cut in the middle of a chunked answer.
-	// Cause: the answer to the caller ends properly all the same.
+func TestTruncatedStreamIsVisible(t *testing.T) {
+	// Guards against a caller that takes a part of an answer for a complete one:
+	// an upstream is cut off in the middle of an answer, and the answer to the
+	// caller ends properly all the same.
 	_, addr := newEdge(t, func(ctx *fasthttp.RequestCtx) {
 		size := -1
 		if string(ctx.Path()) == "/sized" {
@@ -240,10 +240,9 @@
 }
 
 func TestGracefulStop(t *testing.T) {
-	// Symptom: a caller's request is cut when an entry is replaced.
-	// Sequence: a request is being answered, another connection is idle, a
-	// third has sent half a request; the entry stops.
-	// Cause: the listener's end took the connections with it.
+	// Guards against requests that are cut off when an entry is replaced: closing
+	// the listener also closed the connections, one with a request being answered,
+	// one idle and one that had sent half a request.
 	is := is.New(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	e, addr := newEdge(t, func(ctx *fasthttp.RequestCtx) {
@@ -281,8 +280,8 @@
 	is.NoErr(<-stopped)
 }
 
-// Guards against requests that are cut when the balancer sees late that an entry is
-// leaving.
+// TestDrainLastsWhileRequestsCome guards against requests that are cut off when
+// the load balancer notices late that an entry is leaving.
 func TestDrainLastsWhileRequestsCome(t *testing.T) {
 	const grace = 200 * time.Millisecond
 	drained := func(requestsFor time.Duration) time.Duration {
@@ -301,19 +300,19 @@
 		}
 		return <-drain
 	}
-	t.Run("no request", func(t *testing.T) {
+	t.Run("a drain without requests lasts the grace period", func(t *testing.T) {
 		is.New(t).True(drained(0) >= grace)
 	})
-	t.Run("requests for a part of a grace", func(t *testing.T) {
+	t.Run("requests during the grace period extend the drain", func(t *testing.T) {
 		is.New(t).True(drained(grace/2) >= grace*5/4)
 	})
-	t.Run("requests without end", func(t *testing.T) {
+	t.Run("continuous requests do not extend the drain without limit", func(t *testing.T) {
 		lasted := drained(5 * grace)
 		is.New(t).True(lasted >= 2*grace && lasted < 4*grace)
 	})
 }
 
-func TestStopAtItsBoundSaysWhatItCut(t *testing.T) {
+func TestStopReportsRequestsCutAtTimeout(t *testing.T) {
 	is := is.New(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	e, addr := newEdge(t, func(*fasthttp.RequestCtx) { close(entered); <-release }, nil)
@@ -325,7 +324,7 @@
 	is.True(errors.Is(e.Stop(ctx), ErrCut))
 }
 
-func TestTakenPort(t *testing.T) {
+func TestOccupiedPort(t *testing.T) {
 	is := is.New(t)
 	_, addr := newEdge(t, echo, nil)
 	second := NewEdge(Options{Addr: addr, EventLoops: 1, MaxRequestBytes: 1, MaxConns: 1}, echo, logr.Discard())
--- a/jayroute/pool_test.go
+++ b/jayroute/pool_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// acquireLater asks for a lease in the background and returns the channel of
-// its outcome, once the request waits.
+// acquireLater requests a lease in the background, waits until the request is
+// queued, and returns the channel that receives its error.
 func acquireLater(p *Pool, t Ticket) <-chan error {
 	outcome := make(chan error, 1)
 	go func() {
@@ -88,7 +88,7 @@
 }
 
 func TestQueue(t *testing.T) {
-	t.Run("the highest priority goes first, callers in turn", func(t *testing.T) {
+	t.Run("the highest priority is served first, and callers take turns", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 100)
@@ -133,10 +133,10 @@
 			held.Release(false)
 			is.NoErr(<-urgent)
 			time.Sleep(2 * time.Minute)
-			is.Equal(jayverdict.Of(<-first), jayverdict.NotRun) // the urgent one keeps the slot
+			is.Equal(jayverdict.Of(<-first), jayverdict.NotRun) // the urgent request keeps the slot
 		})
 	})
-	t.Run("the wait is bounded", func(t *testing.T) {
+	t.Run("a request is refused when its wait time ends", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 10)
@@ -149,7 +149,7 @@
 			is.Equal(p.Waiting(), 0)
 		})
 	})
-	t.Run("an upstream that comes takes from the queue", func(t *testing.T) {
+	t.Run("a new upstream serves queued requests", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 10)
@@ -182,9 +182,9 @@
 		is.Equal(lease.Upstream.ID, "u1")
 		_, err = p.Acquire(Ticket{Avoid: []string{"u0"}, Wait: time.Second})
 		is.True(err != nil)
-		// Symptom: a refusal comes only after the whole wait.
-		// Sequence: a request has tried every upstream of its pool.
-		// Cause: it waited for a slot that could never be its.
+		// Guards against a refusal that comes only after the whole wait: a request
+		// that has tried every upstream of its pool waits for a slot that it
+		// cannot use.
 		began := time.Now()
 		_, err = p.Acquire(Ticket{Avoid: []string{"u0", "u1"}, Wait: time.Second})
 		is.True(err != nil)
@@ -193,7 +193,7 @@
 }
 
 func TestEjection(t *testing.T) {
-	t.Run("a failing upstream is left out and comes back", func(t *testing.T) {
+	t.Run("a failing upstream is ejected and used again later", func(t *testing.T) {
 		is := is.New(t)
 		now := time.Unix(100, 0)
 		p := newPool(4, 100, 10, WithNow(func() time.Time { return now }))
@@ -225,7 +225,7 @@
 		}
 		ejected := 0
 		for _, u := range p.list {
-			if time.Now().Before(u.until) {
+			if time.Now().Before(u.ejectedUntil) {
 				ejected++
 			}
 		}
@@ -243,7 +243,7 @@
 			taken++
 		}
 	}
-	is.True(taken >= 100 && taken <= 111) // the reserve and a tenth
+	is.True(taken >= 100 && taken <= 111) // the reserve plus a tenth of the first attempts
 }
 
 func TestMayRetry(t *testing.T) {
