--- a/jaynode/expire_test.go
+++ b/jaynode/expire_test.go
@@ -56,8 +56,8 @@
 		lag  time.Duration
 		want time.Duration
 	}{
-		{"quick", 20 * time.Millisecond, 0},
-		{"slow", 300 * time.Millisecond, 600 * time.Millisecond},
+		{"a fast store adds no minimum takeover time", 20 * time.Millisecond, 0},
+		{"a slow store adds the time of two store calls", 300 * time.Millisecond, 600 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/jaynode/fleetcommands_test.go
+++ b/jaynode/fleetcommands_test.go
@@ -87,18 +87,18 @@
 	// off or paused between deciding, recording and sending a command, another entry took
 	// the fleet over, and the first owner sent its command although it was not recorded.
 	faults := map[string]func(*testEntry){
-		"cut from the store":           func(e *testEntry) { e.store.set(func(w *faultyStore) { w.unreachable = true }) },
-		"rejected by the store":        func(e *testEntry) { e.store.set(func(w *faultyStore) { w.refuse = true }) },
-		"answers of the store lost":    func(e *testEntry) { e.store.set(func(w *faultyStore) { w.loseAnswers = true }) },
-		"appends arrive late":          func(e *testEntry) { e.store.set(func(w *faultyStore) { w.requestDelay = 300 * time.Millisecond }) },
-		"appends arrive after a claim": func(e *testEntry) { e.store.set(func(w *faultyStore) { w.requestDelay = 900 * time.Millisecond }) },
-		"answers come late":            func(e *testEntry) { e.store.set(func(w *faultyStore) { w.answerDelay = 350 * time.Millisecond }) },
-		"commands arrive late":         func(e *testEntry) { e.hosts.setLatency(650 * time.Millisecond) },
-		"none":                         func(*testEntry) {},
+		"the store is unreachable":                       func(e *testEntry) { e.store.set(func(w *faultyStore) { w.unreachable = true }) },
+		"the store rejects all calls":                    func(e *testEntry) { e.store.set(func(w *faultyStore) { w.refuse = true }) },
+		"answers of the store are lost":                  func(e *testEntry) { e.store.set(func(w *faultyStore) { w.loseAnswers = true }) },
+		"appends arrive late":                            func(e *testEntry) { e.store.set(func(w *faultyStore) { w.requestDelay = 300 * time.Millisecond }) },
+		"appends may arrive after the new owner's claim": func(e *testEntry) { e.store.set(func(w *faultyStore) { w.requestDelay = 900 * time.Millisecond }) },
+		"answers of the store arrive late":               func(e *testEntry) { e.store.set(func(w *faultyStore) { w.answerDelay = 350 * time.Millisecond }) },
+		"commands arrive late":                           func(e *testEntry) { e.hosts.setLatency(650 * time.Millisecond) },
+		"there is no fault":                              func(*testEntry) {},
 	}
 	for name, fault := range faults {
 		for _, after := range []time.Duration{0, 60 * time.Millisecond, 400 * time.Millisecond, 1100 * time.Millisecond} {
-			t.Run(fmt.Sprint(name, ", replaced after ", after), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", and the owner is replaced after ", after), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					commands := takeoverScenario{fault: fault, replacedAfter: after}.run(t)
 					checkFenceOrder(t, commands)
--- a/jaynode/intake_test.go
+++ b/jaynode/intake_test.go
@@ -126,7 +126,7 @@
 		is.Equal(verdictOf(t, err), jayverdict.NotRun)
 		is.True(!stored)
 	})
-	t.Run("owner without an answer, own append rejected", func(t *testing.T) {
+	t.Run("a job sent to a silent owner may have run although the entry's own append is rejected", func(t *testing.T) {
 		// The pool's owner is asked to store the job and stops answering; the entry's own
 		// append is then rejected. The unknown outcome of the first request must be
 		// returned, not the second outcome.
--- a/jaynode/outagewait_test.go
+++ b/jaynode/outagewait_test.go
@@ -81,8 +81,8 @@
 		}
 		return nil
 	}
-	for name, fault := range map[string]func(*faultyStore, bool){"silent": silent, "busy": busy} {
-		t.Run("accepted as it returns, "+name, func(t *testing.T) {
+	for name, fault := range map[string]func(*faultyStore, bool){"the store is silent": silent, "the store rejects all calls": busy} {
+		t.Run("a job is accepted after a short outage in which "+name, func(t *testing.T) {
 			// Guards against losing jobs in a short outage: each job was rejected at
 			// once, and its caller gave up after four retries within 2.5 s. A fifth of
 			// the jobs of a peak load were lost in an outage of two seconds, although
@@ -94,7 +94,7 @@
 				is.True(took < 1700*time.Millisecond)
 			})
 		})
-		t.Run("refused once it cannot be in time, "+name, func(t *testing.T) {
+		t.Run("a job that would finish late is refused in an outage in which "+name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				took, err := submitDuringFault(t, time.Second, time.Second, time.Minute, fault)
@@ -103,7 +103,7 @@
 				is.True(took < 1400*time.Millisecond)
 			})
 		})
-		t.Run("refused at once in a long outage, "+name, func(t *testing.T) {
+		t.Run("a job is refused at once in a long outage in which "+name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				took, err := submitDuringFault(t, time.Second, 8*time.Second, time.Minute, fault)
