--- a/jayowner/owner_test.go
+++ b/jayowner/owner_test.go
@@ -78,7 +78,7 @@
 
 func TestRankings(t *testing.T) {
 	candidates := []Candidate{{Incarnation: "a", Strength: 400}, {Incarnation: "b", Strength: 400}, {Incarnation: "c", Strength: 800}, {Incarnation: "d", Strength: 400}}
-	t.Run("spread duties, the strong take more", func(t *testing.T) {
+	t.Run("duties are spread by strength", func(t *testing.T) {
 		is := is.New(t)
 		var duties []Duty
 		for n := range 5 {
@@ -92,17 +92,17 @@
 		is.Equal(first["c"], 2)
 		is.Equal(first["a"]+first["b"]+first["d"], 3)
 	})
-	t.Run("spare those that hold some", func(t *testing.T) {
+	t.Run("entries with fewer duties are preferred", func(t *testing.T) {
 		ranking := Rankings([]Duty{Fleet}, map[string]int{"a": 1, "b": 1, "c": 2}, candidates)[Fleet]
 		is.New(t).Equal(ranking[0], "d")
 	})
-	t.Run("prefer what was restarted already", func(t *testing.T) {
+	t.Run("the entry that was started last is preferred among equals", func(t *testing.T) {
 		restarted := append([]Candidate{}, candidates...)
 		restarted[3].Started = 90_000
 		ranking := Rankings([]Duty{Fleet}, map[string]int{"c": 2}, restarted)[Fleet]
 		is.New(t).Equal(ranking[0], "d")
 	})
-	t.Run("are the same everywhere", func(t *testing.T) {
+	t.Run("rankings do not depend on the order of duties and candidates", func(t *testing.T) {
 		is := is.New(t)
 		duties := []Duty{Fleet, PoolDuty("x"), PoolDuty("y")}
 		want := fmt.Sprint(Rankings(duties, nil, candidates))
--- a/jayowner/turnover_test.go
+++ b/jayowner/turnover_test.go
@@ -21,26 +21,26 @@
 			is.New(t).Equal(claimed(owners...).TimeoutFactor(Fleet, at), expected)
 		})
 	}
-	factor("a duty that was never claimed", 1, 0)
-	factor("entries that are lost one after the other", 1, 2*time.Second, "a", "b", "c")
-	factor("an owner that comes back", 2, 2*time.Second, "a", "b", "a")
-	factor("two that take turns", 4, 3*time.Second, "a", "b", "a", "b")
-	factor("ever other owners", 4, 4*time.Second, "a", "b", "c", "d", "e")
-	factor("many turns", 16, 7*time.Second, "a", "b", "a", "b", "a", "b", "a", "b")
-	factor("remembered for 15 s", 2, 14900*time.Millisecond, "a", "b", "a")
-	factor("and not longer", 1, 15100*time.Millisecond, "a", "b", "a")
-	t.Run("what is read again counts once", func(t *testing.T) {
+	factor("a duty without claims has a factor of 1", 1, 0)
+	factor("entries lost one after another do not raise the factor", 1, 2*time.Second, "a", "b", "c")
+	factor("an owner that returns doubles the factor", 2, 2*time.Second, "a", "b", "a")
+	factor("two owners that return raise the factor to 4", 4, 3*time.Second, "a", "b", "a", "b")
+	factor("a fourth and a fifth owner double the factor each", 4, 4*time.Second, "a", "b", "c", "d", "e")
+	factor("the factor is at most 16", 16, 7*time.Second, "a", "b", "a", "b", "a", "b", "a", "b")
+	factor("a claim counts for 15 s", 2, 14900*time.Millisecond, "a", "b", "a")
+	factor("a claim does not count after 15 s", 1, 15100*time.Millisecond, "a", "b", "a")
+	t.Run("a claim that is read twice counts once", func(t *testing.T) {
 		turnover := claimed("a", "b")
 		turnover.Claimed(Claim{Duty: Fleet, Fence: 1, Incarnation: "a"}, 2*time.Second)
 		turnover.Claimed(Claim{Duty: Fleet, Fence: 2, Incarnation: "b"}, 2*time.Second)
 		is.New(t).Equal(turnover.TimeoutFactor(Fleet, 2*time.Second), 1)
 	})
-	t.Run("a release is no claim", func(t *testing.T) {
+	t.Run("a release does not count as a claim", func(t *testing.T) {
 		turnover := claimed("a", "b")
 		turnover.Claimed(Claim{Duty: Fleet, Fence: 3, Incarnation: "a", Released: true}, 2*time.Second)
 		is.New(t).Equal(turnover.TimeoutFactor(Fleet, 2*time.Second), 1)
 	})
-	t.Run("of its own duty only", func(t *testing.T) {
+	t.Run("claims of other duties do not count", func(t *testing.T) {
 		is.New(t).Equal(claimed("a", "b", "a").TimeoutFactor(PoolDuty("seats"), 2*time.Second), 1)
 	})
 }
@@ -55,7 +55,7 @@
 	const wait = 650 * time.Millisecond
 	for _, reads := range []time.Duration{700 * time.Millisecond, 1700 * time.Millisecond, 5 * time.Second} {
 		for _, entries := range []int{2, 97} {
-			t.Run(fmt.Sprint(reads, " ", entries), func(t *testing.T) {
+			t.Run(fmt.Sprint(reads, " of reading, number of entries: ", entries), func(t *testing.T) {
 				turnover, now, claims := NewTurnover(), time.Duration(0), 0
 				for {
 					claims++
