--- a/jaystate/capacity_test.go
+++ b/jaystate/capacity_test.go
@@ -8,8 +8,9 @@
 	"jaythread/jaywire"
 )
 
-// bigState returns a state of workers in 34 pools with two tasks a worker.
-func bigState(tb testing.TB, workers int) *State {
+// largeState returns a state with the given number of workers in 34 pools and
+// two tasks for each worker.
+func largeState(tb testing.TB, workers int) *State {
 	tb.Helper()
 	document := `{"pools":[`
 	for p := range 34 {
@@ -20,21 +21,21 @@
 	}
 	document += `]}`
 	s := New()
-	feed(tb, s, publish("first", 0, document))
+	applyAll(tb, s, publish("first", 0, document))
 	for n := range workers {
 		id := fmt.Sprintf("p%02d-%05d", n%34, n)
-		feed(tb, s, attach(id, 0, fmt.Sprintf("p%02d", n%34), fmt.Sprint("rack", n/40)))
-		feed(tb, s, place("job", int32(2*n), id), place("job", int32(2*n+1), id))
+		applyAll(tb, s, attach(id, 0, fmt.Sprintf("p%02d", n%34), fmt.Sprint("rack", n/40)))
+		applyAll(tb, s, place("job", int32(2*n), id), place("job", int32(2*n+1), id))
 	}
 	return s
 }
 
-// BenchmarkCapacityFold is the time and memory of one record: an instance
-// that fails or recovers, by fleet size.
+// BenchmarkCapacityFold measures, for several fleet sizes, the time and memory
+// to apply one record: a report that an instance failed or recovered.
 func BenchmarkCapacityFold(b *testing.B) {
 	for _, workers := range []int{50, 500, 5600} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			s := bigState(b, workers)
+			s := largeState(b, workers)
 			ids := s.Fleet.IDs()
 			for n := 0; b.Loop(); n++ {
 				c := &jaywire.Command{Id: fmt.Sprint("c", n), Actor: "planner", Body: &jaywire.Command_ReportInstance{
@@ -52,12 +53,12 @@
 	}
 }
 
-// BenchmarkCapacitySnapshot is the size of a snapshot and the time to load it,
-// by fleet size.
+// BenchmarkCapacitySnapshot measures, for several fleet sizes, the size of a
+// snapshot, the time to load it, and the heap that the state takes.
 func BenchmarkCapacitySnapshot(b *testing.B) {
 	for _, workers := range []int{50, 500, 5600} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			s := bigState(b, workers)
+			s := largeState(b, workers)
 			snapshot, err := s.Snapshot()
 			if err != nil {
 				b.Fatal(err)
@@ -73,12 +74,13 @@
 	}
 }
 
-// heapOf returns the memory that a state takes.
+// heapOf returns the heap memory, in bytes, of a state with the given number
+// of workers.
 func heapOf(tb testing.TB, workers int) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s := bigState(tb, workers)
+	s := largeState(tb, workers)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(s)
--- a/jaystate/fold.go
+++ b/jaystate/fold.go
@@ -9,7 +9,8 @@
 	"jaythread/jaywire"
 )
 
-// Errors of the state's own rules.
+// Errors for which a command is rejected, besides those of packages jaypool and
+// jayconfig.
 var (
 	ErrConflict  = errors.New("the revision in force is another one")
 	ErrDuplicate = errors.New("duplicate command")
@@ -19,7 +20,7 @@
 	ErrState     = errors.New("not possible in this state")
 )
 
-// Outcome is what the fold made of one command.
+// Outcome is the result of one command.
 type Outcome struct {
 	ID     string
 	Offset uint64
@@ -32,9 +33,9 @@
 	return o.Err == nil
 }
 
-// Apply folds one record and returns the outcome of each of its commands. A
-// record that was folded before changes nothing; a record that cannot be read
-// is passed over in the same way by every entry.
+// Apply applies one record and returns the outcome of each of its commands. A
+// record that was applied before changes nothing. A record that cannot be
+// decoded is skipped, by every entry in the same way: only the offset advances.
 func (s *State) Apply(offset uint64, record []byte) ([]Outcome, error) {
 	if offset < s.Offset {
 		return nil, nil
@@ -51,8 +52,11 @@
 	return outcomes, nil
 }
 
+// decide applies one command, unless it is a repeat, and adds it to the audit
+// trail, whether accepted or rejected. Renewals and rejected requests of the
+// planner lease are not audited.
 func (s *State) decide(offset uint64, c *jaywire.Command) Outcome {
-	if !s.remember(c.Id) {
+	if !s.recordCommandID(c.Id) {
 		return Outcome{ID: c.Id, Offset: offset, Err: ErrDuplicate}
 	}
 	entry := &jaywire.AuditEntry{Offset: offset, UnixMillis: c.UnixMillis, Actor: c.Actor, Reason: c.Reason}
@@ -61,15 +65,15 @@
 		entry.Rejected = err.Error()
 	}
 	if entry.Kind != "" {
-		s.note(entry)
+		s.appendAudit(entry)
 	}
 	return Outcome{ID: c.Id, Offset: offset, Err: err}
 }
 
-func (s *State) note(entry *jaywire.AuditEntry) {
+func (s *State) appendAudit(entry *jaywire.AuditEntry) {
 	s.audit = append(s.audit, entry)
-	if len(s.audit) > auditKept {
-		s.audit = s.audit[len(s.audit)-auditKept:]
+	if len(s.audit) > maxAuditEntries {
+		s.audit = s.audit[len(s.audit)-maxAuditEntries:]
 	}
 }
 
--- a/jaystate/fold_configuration.go
+++ b/jaystate/fold_configuration.go
@@ -9,9 +9,9 @@
 	"jaythread/jaywire"
 )
 
-// publish takes a configuration if it replaces the revision in force. The
-// revision is the record's offset plus one: a later one is always higher, and
-// zero means none.
+// publish accepts a configuration that replaces the revision in force. The new
+// revision number is the record's offset plus one, so that later revisions have
+// higher numbers and zero means that there is no configuration.
 func (s *State) publish(offset uint64, c *jaywire.Command, p *jaywire.PublishConfiguration, e *jaywire.AuditEntry) error {
 	e.Kind = "configuration"
 	e.Subject = p.Message
@@ -66,8 +66,9 @@
 	return slices.BinarySearchFunc(s.Members, entry, func(m Member, id string) int { return cmp.Compare(m.Entry, id) })
 }
 
-// takePlannerLease gives the next term to whoever names it first. Renewals
-// take a new term too; an old holder sees a higher term and stops planning.
+// takePlannerLease grants the next term to the first entry that requests it. A
+// renewal takes a new term too. A former holder sees the higher term and stops
+// planning.
 func (s *State) takePlannerLease(t *jaywire.TakePlannerLease, e *jaywire.AuditEntry) error {
 	if t.Term != s.Planner.Term+1 {
 		return fmt.Errorf("%w: term %d is taken, by %s", ErrState, t.Term, s.Planner.Entry)
--- a/jaystate/fold_fleet.go
+++ b/jaystate/fold_fleet.go
@@ -11,7 +11,7 @@
 	e.Kind = "attach"
 	e.Subject = a.Instance
 	e.After = a.Pool
-	if err := s.declared(a.Pool); err != nil {
+	if err := s.checkDeclared(a.Pool); err != nil {
 		return err
 	}
 	fresh := jaypool.Instance{
@@ -31,7 +31,8 @@
 	return s.Fleet.Attach(fresh, base)
 }
 
-func (s *State) declared(pool string) error {
+// checkDeclared returns an error unless the configuration declares a pool.
+func (s *State) checkDeclared(pool string) error {
 	if s.Revision.Parsed != nil {
 		if _, ok := s.Revision.Parsed.Pool(pool); ok {
 			return nil
@@ -44,7 +45,7 @@
 	e.Kind = "move"
 	e.Subject = d.Instance
 	e.After = d.ToPool
-	if err := s.declared(d.ToPool); err != nil {
+	if err := s.checkDeclared(d.ToPool); err != nil {
 		return err
 	}
 	i, err := s.instance(d.Instance)
@@ -76,12 +77,12 @@
 func (s *State) report(r *jaywire.ReportInstance, e *jaywire.AuditEntry) error {
 	e.Kind = "health"
 	e.Subject = r.Instance
-	e.After = healthWord(r.Failed)
+	e.After = healthName(r.Failed)
 	i, err := s.instance(r.Instance)
 	if err != nil {
 		return err
 	}
-	e.Before = healthWord(i.Failed)
+	e.Before = healthName(i.Failed)
 	if i.Failed == r.Failed {
 		return fmt.Errorf("%w: %s is %s already", ErrState, r.Instance, e.After)
 	}
@@ -91,27 +92,27 @@
 func (s *State) quarantine(base uint64, q *jaywire.QuarantineInstance, e *jaywire.AuditEntry) error {
 	e.Kind = "quarantine"
 	e.Subject = q.Instance
-	e.After = quarantineWord(!q.Lifted)
+	e.After = quarantineName(!q.Lifted)
 	i, err := s.instance(q.Instance)
 	if err != nil {
 		return err
 	}
-	e.Before = quarantineWord(i.Quarantined)
+	e.Before = quarantineName(i.Quarantined)
 	if err := s.Fleet.SetQuarantined(q.Instance, !q.Lifted, base, s.budget(i.Pool)); err != nil {
 		return err
 	}
-	s.clearBlame(q.Instance)
+	s.clearInstanceFailures(q.Instance)
 	return nil
 }
 
-func healthWord(failed bool) string {
+func healthName(failed bool) string {
 	if failed {
 		return "failed"
 	}
 	return "healthy"
 }
 
-func quarantineWord(on bool) string {
+func quarantineName(on bool) string {
 	if on {
 		return "quarantined"
 	}
--- a/jaystate/fold_job.go
+++ b/jaystate/fold_job.go
@@ -8,8 +8,8 @@
 	"jaythread/jaywire"
 )
 
-// placeTask gives a task to an instance. A task that has a place must be
-// ended first, so that it never stands in two.
+// placeTask assigns a task to an instance. A task that is already assigned must
+// be ended first, so that it is never assigned to two instances.
 func (s *State) placeTask(offset uint64, p *jaywire.PlaceTask, e *jaywire.AuditEntry) error {
 	e.Kind = "task"
 	e.Subject = fmt.Sprintf("%s/%d", p.Job, p.Replica)
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// endTask takes a task from its instance. The base is the fence of the
-// placement that ended; a late report of an earlier one changes nothing.
+// endTask removes a task from its instance. The base is the fence of the
+// placement that ended; a late report of an earlier placement is rejected.
 func (s *State) endTask(base uint64, t *jaywire.EndTask, e *jaywire.AuditEntry) error {
 	e.Kind = "task"
 	e.Subject = fmt.Sprintf("%s/%d", t.Job, t.Replica)
@@ -78,14 +78,14 @@
 	if p.Released {
 		e.After = "released"
 		delete(s.Parked, p.Job)
-		s.forgetFailures(p.Job)
+		s.clearJobFailures(p.Job)
 		return nil
 	}
 	s.Parked[p.Job] = p.Why
 	return nil
 }
 
-func (s *State) forgetFailures(job string) {
+func (s *State) clearJobFailures(job string) {
 	for key, task := range s.Tasks {
 		if key.Job == job {
 			task.FailedOn = nil
@@ -93,9 +93,10 @@
 	}
 }
 
-// clearBlame takes a quarantined worker off the tasks that failed on it: the
-// worker was to blame, and the jobs must not be parked for it.
-func (s *State) clearBlame(instance string) {
+// clearInstanceFailures removes an instance that was quarantined or released
+// from the failure history of all tasks. Failures that a faulty instance caused
+// must not lead to jobs being parked.
+func (s *State) clearInstanceFailures(instance string) {
 	for _, task := range s.Tasks {
 		task.FailedOn = slices.DeleteFunc(task.FailedOn, func(on string) bool { return on == instance })
 	}
--- a/jaystate/fold_test.go
+++ b/jaystate/fold_test.go
@@ -22,8 +22,9 @@
   "jobs": [{"name": "index", "pool": "seats", "team": "t", "replicas": 2}],
   "rules": [{"name": "all", "about": "request", "then": {"route": "seats"}}]}`
 
-// feed folds commands, a record each, and returns the outcomes.
-func feed(t testing.TB, s *State, commands ...*jaywire.Command) []Outcome {
+// applyAll applies commands, each in a record of its own, and returns their
+// outcomes.
+func applyAll(t testing.TB, s *State, commands ...*jaywire.Command) []Outcome {
 	t.Helper()
 	var outcomes []Outcome
 	for _, c := range commands {
@@ -83,11 +84,11 @@
 func newState(t testing.TB) *State {
 	t.Helper()
 	s := New()
-	feed(t, s, publish("first", 0, document))
+	applyAll(t, s, publish("first", 0, document))
 	for n := range 6 {
-		feed(t, s, attach(fmt.Sprintf("seats-%d", n), 0, "seats", fmt.Sprint(n/2)))
+		applyAll(t, s, attach(fmt.Sprintf("seats-%d", n), 0, "seats", fmt.Sprint(n/2)))
 	}
-	for _, o := range feed(t, s, startWave("w", "seats")) {
+	for _, o := range applyAll(t, s, startWave("w", "seats")) {
 		if o.Err != nil {
 			t.Fatal(o.Err)
 		}
@@ -104,50 +105,48 @@
 	return d
 }
 
-func TestOperatorsRace(t *testing.T) {
-	// Symptom: one operator's change vanishes without a word.
-	// Sequence: two operators read revision 1, edit it, and publish.
-	// Cause: the second would overwrite the first if it did not name the
-	// revision that it replaces.
+func TestConcurrentPublishIsRejected(t *testing.T) {
+	// Lost update: two operators read revision 1, edit it and publish. If a
+	// command did not name the revision that it replaces, the second would
+	// silently overwrite the first.
 	is := is.New(t)
 	s := New()
-	is.NoErr(feed(t, s, publish("first", 0, document))[0].Err)
-	outcomes := feed(t, s, publish("aster", 1, document), publish("bekele", 1, document))
+	is.NoErr(applyAll(t, s, publish("first", 0, document))[0].Err)
+	outcomes := applyAll(t, s, publish("aster", 1, document), publish("bekele", 1, document))
 	is.NoErr(outcomes[0].Err)
 	is.True(errors.Is(outcomes[1].Err, ErrConflict))
 	is.Equal(s.Revision.Author, "aster")
 	is.Equal(s.Revision.Number, uint64(2))
 	last := s.Audit()[len(s.Audit())-1]
-	is.Equal(last.Actor, "bekele") // the refused change stands in the audit trail
+	is.Equal(last.Actor, "bekele") // the audit trail contains the rejected change
 	is.True(last.Rejected != "")
 }
 
-func TestRejectedDocumentChangesNothing(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	is := is.New(t)
 	s := newState(t)
 	before := s.Revision.Number
-	outcome := feed(t, s, publish("bad", before, `{"pools": []}`))[0]
+	outcome := applyAll(t, s, publish("bad", before, `{"pools": []}`))[0]
 	is.True(outcome.Err != nil)
 	is.Equal(s.Revision.Number, before)
 	is.True(s.Configuration() != nil)
 }
 
-func TestRepeatedCommandCountsOnce(t *testing.T) {
-	// Symptom: a wave is started twice, or a change is refused that was
-	// accepted before.
-	// Sequence: an append takes effect, its answer is lost, the proposer
-	// appends the command again.
-	// Cause: the log service cannot tell a repeat from a new record.
+func TestRepeatedCommandIsAppliedOnce(t *testing.T) {
+	// An append takes effect, its response is lost, and the proposer appends
+	// the command again. The log service cannot tell the repeat from a new
+	// record, so without deduplication a wave would start twice or an accepted
+	// change would be reported as rejected.
 	is := is.New(t)
 	s := New()
 	c := publish("once", 0, document)
-	outcomes := feed(t, s, c, c)
+	outcomes := applyAll(t, s, c, c)
 	is.NoErr(outcomes[0].Err)
 	is.True(errors.Is(outcomes[1].Err, ErrDuplicate))
 	is.Equal(s.Revision.Number, uint64(1))
 }
 
-func TestLateRecordChangesNothing(t *testing.T) {
+func TestAlreadyAppliedRecordIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := newState(t)
 	before := digest(t, s)
@@ -157,83 +156,80 @@
 	is.True(bytes.Equal(before, digest(t, s)))
 }
 
-func TestUnreadableRecordIsPassedOver(t *testing.T) {
+func TestMalformedRecordIsSkipped(t *testing.T) {
 	is := is.New(t)
 	s := newState(t)
 	_, err := s.Apply(s.Offset, []byte{0xff, 0xff, 0xff})
 	is.True(err != nil)
-	is.NoErr(feed(t, s, attach("fees-1", 0, "fees", "r"))[0].Err)
+	is.NoErr(applyAll(t, s, attach("fees-1", 0, "fees", "r"))[0].Err)
 }
 
-func TestTwoPlannersCannotBreakTheBudget(t *testing.T) {
-	// Symptom: a pool falls below its budget in a wave.
-	// Sequence: a planner is paused; another takes over and starts a step;
-	// the first wakes and starts the step that it had planned.
-	// Cause: each step alone keeps the budget, both together do not. The fold
-	// judges them one after the other.
+func TestConcurrentPlannersKeepBudget(t *testing.T) {
+	// A planner process is suspended; another one takes over and starts a step;
+	// the first one resumes and starts the step that it had planned. Each step
+	// alone keeps the pool within its budget, both together do not. Apply must
+	// check the second step against the state after the first.
 	is := is.New(t)
 	s := newState(t)
-	outcomes := feed(t, s, startStep("w", "seats-0", 1), startStep("w", "seats-2", 1))
+	outcomes := applyAll(t, s, startStep("w", "seats-0", 1), startStep("w", "seats-2", 1))
 	is.NoErr(outcomes[0].Err)
 	is.True(errors.Is(outcomes[1].Err, jaypool.ErrBudget))
 }
 
-func TestPlannerTermIsTakenOnce(t *testing.T) {
+func TestPlannerTermIsGrantedOnce(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	take := func(entry string, term uint64) *jaywire.Command {
 		return &jaywire.Command{Body: &jaywire.Command_TakePlannerLease{TakePlannerLease: &jaywire.TakePlannerLease{Entry: entry, Term: term}}}
 	}
-	outcomes := feed(t, s, take("a", 1), take("b", 1), take("a", 2))
+	outcomes := applyAll(t, s, take("a", 1), take("b", 1), take("a", 2))
 	is.NoErr(outcomes[0].Err)
 	is.True(outcomes[1].Err != nil)
 	is.NoErr(outcomes[2].Err)
 	is.Equal(s.Planner, Planner{Entry: "a", Term: 2})
 }
 
-func TestOperatorsPauseHolds(t *testing.T) {
-	// Symptom: a wave that an operator stopped on purpose goes on by itself.
-	// Sequence: an operator pauses a wave; the planner sees that failures are
-	// over and resumes.
-	// Cause: the planner's own pauses and an operator's looked the same.
+func TestPlannerCannotResumeOperatorPause(t *testing.T) {
+	// The planner pauses waves on failures and resumes them afterwards. If its
+	// pauses could not be told from an operator's, it would also resume a wave
+	// that an operator paused on purpose.
 	is := is.New(t)
 	s := newState(t)
 	paused, running := jaywire.WavePhase_WAVE_PHASE_PAUSED, jaywire.WavePhase_WAVE_PHASE_RUNNING
-	outcomes := feed(t, s, setWave("w", 1, paused, false), setWave("w", 2, running, true), setWave("w", 2, running, false))
+	outcomes := applyAll(t, s, setWave("w", 1, paused, false), setWave("w", 2, running, true), setWave("w", 2, running, false))
 	is.NoErr(outcomes[0].Err)
 	is.True(outcomes[1].Err != nil)
 	is.NoErr(outcomes[2].Err)
 }
 
-func TestTaskStandsInOnePlace(t *testing.T) {
-	// Symptom: a task runs on two workers.
-	// Sequence: two planners place the same task; or a late report ends the
-	// placement that came after the one it speaks of.
-	// Cause: commands without the fence of the placement they were based on.
+func TestTaskIsPlacedOnOneInstance(t *testing.T) {
+	// A task must not run on two workers. This could happen when two planners
+	// place the same task, or when a late report ends a newer placement than
+	// the one it refers to because it does not carry that placement's fence.
 	is := is.New(t)
 	s := newState(t)
-	outcomes := feed(t, s, place("index", 0, "seats-0"), place("index", 0, "seats-1"))
+	outcomes := applyAll(t, s, place("index", 0, "seats-0"), place("index", 0, "seats-1"))
 	is.NoErr(outcomes[0].Err)
 	is.True(errors.Is(outcomes[1].Err, ErrState))
 	fence := s.Tasks[TaskKey{Job: "index"}].Fence
 	end := func(base uint64) *jaywire.Command {
 		return &jaywire.Command{Base: base, Body: &jaywire.Command_EndTask{EndTask: &jaywire.EndTask{Job: "index", Outcome: "lost"}}}
 	}
-	outcomes = feed(t, s, end(fence), place("index", 0, "seats-1"), end(fence))
+	outcomes = applyAll(t, s, end(fence), place("index", 0, "seats-1"), end(fence))
 	is.NoErr(outcomes[0].Err)
 	is.NoErr(outcomes[1].Err)
 	is.True(errors.Is(outcomes[2].Err, ErrState))
 	is.Equal(s.Tasks[TaskKey{Job: "index"}].Instance, "seats-1")
 }
 
-func TestAuditSaysBeforeAndAfter(t *testing.T) {
+func TestAuditRecordsOldAndNewValues(t *testing.T) {
 	is := is.New(t)
 	s := newState(t)
 	report := func(failed bool) *jaywire.Command {
 		return &jaywire.Command{Body: &jaywire.Command_ReportInstance{ReportInstance: &jaywire.ReportInstance{Instance: "seats-0", Failed: failed}}}
 	}
 	quarantine := &jaywire.Command{Base: 3, Body: &jaywire.Command_QuarantineInstance{QuarantineInstance: &jaywire.QuarantineInstance{Instance: "seats-0"}}}
-	for _, o := range feed(t, s, report(true), report(false), quarantine) {
+	for _, o := range applyAll(t, s, report(true), report(false), quarantine) {
 		is.NoErr(o.Err)
 	}
 	var words []string
@@ -249,7 +245,7 @@
 	move := &jaywire.Command{Base: 1, Body: &jaywire.Command_DrainForMove{DrainForMove: &jaywire.DrainForMove{Instance: "seats-0", ToPool: "fees"}}}
 	done := setWave("w", 1, jaywire.WavePhase_WAVE_PHASE_DONE, true)
 	done.UnixMillis = 90_000
-	for _, o := range feed(t, s, move, done) {
+	for _, o := range applyAll(t, s, move, done) {
 		is.NoErr(o.Err)
 	}
 	is.Equal(s.Measures.InstanceMoves, uint64(1))
@@ -265,7 +261,7 @@
 	t.Run("restores the same state", func(t *testing.T) {
 		is := is.New(t)
 		s := newState(t)
-		feed(t, s, startStep("w", "seats-0", 1), place("index", 0, "seats-1"))
+		applyAll(t, s, startStep("w", "seats-0", 1), place("index", 0, "seats-1"))
 		snapshot, err := s.Snapshot()
 		is.NoErr(err)
 		loaded, err := Load(snapshot)
@@ -290,7 +286,8 @@
 	})
 }
 
-// anyCommand draws a command over few names, so that commands often meet.
+// anyCommand draws a command over a small set of names, so that commands often
+// affect the same objects.
 func anyCommand(t *rapid.T, s *State) *jaywire.Command {
 	id := fmt.Sprintf("seats-%d", rapid.IntRange(0, 5).Draw(t, "instance"))
 	base := uint64(rapid.IntRange(0, 6).Draw(t, "base"))
@@ -330,9 +327,10 @@
 	}
 }
 
-// TestFoldIsTheSameEverywhere folds the same records in one go, and with a
-// snapshot and repeated deliveries at any places.
-func TestFoldIsTheSameEverywhere(t *testing.T) {
+// TestReplicasReachSameState checks that applying records in sequence leads to
+// the same state as applying them with snapshots, restores and repeated
+// deliveries in between.
+func TestReplicasReachSameState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newState(t)
 		var records [][]byte
@@ -340,7 +338,7 @@
 		snapshot, _ := s.Snapshot()
 		for n := range rapid.IntRange(1, 40).Draw(rt, "records") {
 			c := anyCommand(rt, s)
-			c.Id = fmt.Sprint("c", n%30) // some identities come twice
+			c.Id = fmt.Sprint("c", n%30) // some IDs are repeated
 			r := record(t, c)
 			records = append(records, r)
 			_, _ = s.Apply(s.Offset, r)
@@ -370,9 +368,9 @@
 	})
 }
 
-// TestNoInterleavingBreaksARule checks the aggregates' rules after any
-// sequence of commands.
-func TestNoInterleavingBreaksARule(t *testing.T) {
+// TestInvariantsHoldForRandomCommands checks that the invariants of the
+// aggregates hold after any sequence of commands.
+func TestInvariantsHoldForRandomCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newState(t)
 		for range rapid.IntRange(1, 80).Draw(rt, "commands") {
--- a/jaystate/fold_wave.go
+++ b/jaystate/fold_wave.go
@@ -20,7 +20,7 @@
 		return fmt.Errorf("%w: wave %s exists", ErrState, w.Wave)
 	}
 	for _, pool := range w.Pools {
-		if err := s.declared(pool); err != nil {
+		if err := s.checkDeclared(pool); err != nil {
 			return err
 		}
 		if other, busy := s.WaveOf(pool); busy {
@@ -37,11 +37,12 @@
 
 		StartedUnixMillis: c.UnixMillis,
 	})
-	s.forgetEndedWaves()
+	s.pruneEndedWaves()
 	return nil
 }
 
-func (s *State) forgetEndedWaves() {
+// pruneEndedWaves removes the oldest ended waves beyond maxEndedWaves.
+func (s *State) pruneEndedWaves() {
 	ended := 0
 	for _, w := range s.Waves {
 		if !w.Active() {
@@ -49,7 +50,7 @@
 		}
 	}
 	s.Waves = slices.DeleteFunc(s.Waves, func(w *Wave) bool {
-		if w.Active() || ended <= endedWavesKept {
+		if w.Active() || ended <= maxEndedWaves {
 			return false
 		}
 		ended--
@@ -60,30 +61,30 @@
 func (s *State) setWavePhase(c *jaywire.Command, p *jaywire.SetWavePhase, e *jaywire.AuditEntry) error {
 	e.Kind = "wave"
 	e.Subject = p.Wave
-	e.After = phaseWord(p.Phase)
+	e.After = wavePhaseName(p.Phase)
 	w, ok := s.Wave(p.Wave)
 	if !ok {
 		return fmt.Errorf("%w: wave %s", ErrNoSuch, p.Wave)
 	}
-	e.Before = phaseWord(w.Phase)
+	e.Before = wavePhaseName(w.Phase)
 	if w.Version != c.Base {
 		return fmt.Errorf("%w: wave %s is at %d, the command was based on %d", jaypool.ErrStaleVersion, w.ID, w.Version, c.Base)
 	}
 	if !w.Active() {
-		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, phaseWord(w.Phase))
+		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, wavePhaseName(w.Phase))
 	}
-	// An operator may take over the planner's own pause.
+	// An operator may turn a pause by the planner into one by the operator.
 	takesOver := p.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED && w.Automatic && !p.Automatic
 	if p.Phase == jaywire.WavePhase_WAVE_PHASE_UNSPECIFIED || p.Phase == w.Phase && !takesOver {
-		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, phaseWord(w.Phase))
+		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, wavePhaseName(w.Phase))
 	}
-	// An operator's pause stays until an operator ends it. Without this the
-	// planner would resume a wave that somebody stopped on purpose.
+	// Only an operator may end an operator's pause. Without this check the
+	// planner would resume a wave that was paused on purpose.
 	operatorPause := w.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED && !w.Automatic
 	if operatorPause && p.Automatic {
 		return fmt.Errorf("%w: wave %s was paused by an operator", ErrState, w.ID)
 	}
-	if p.Phase == jaywire.WavePhase_WAVE_PHASE_DONE && s.open(w) > 0 {
+	if p.Phase == jaywire.WavePhase_WAVE_PHASE_DONE && s.countUnfinishedSteps(w) > 0 {
 		return fmt.Errorf("%w: wave %s has steps under way", ErrState, w.ID)
 	}
 	if p.Phase == jaywire.WavePhase_WAVE_PHASE_DONE {
@@ -96,7 +97,9 @@
 	return nil
 }
 
-func (s *State) open(w *Wave) int {
+// countUnfinishedSteps returns the number of a wave's steps that have not
+// ended.
+func (s *State) countUnfinishedSteps(w *Wave) int {
 	n := 0
 	for _, step := range w.Steps {
 		if step.Phase < jaywire.StepPhase_STEP_PHASE_RETURNED {
@@ -106,8 +109,8 @@
 	return n
 }
 
-// startStep takes an instance out for maintenance. The budget is judged here,
-// in log order, so that two planners together cannot break it.
+// startStep starts to drain an instance for maintenance. The budget is checked
+// here, in log order, so that two planners together cannot exceed it.
 func (s *State) startStep(offset, base uint64, st *jaywire.StartStep, e *jaywire.AuditEntry) error {
 	e.Kind = "step"
 	e.Subject = st.Instance
@@ -118,7 +121,7 @@
 		return fmt.Errorf("%w: wave %s", ErrNoSuch, st.Wave)
 	}
 	if w.Phase != jaywire.WavePhase_WAVE_PHASE_RUNNING {
-		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, phaseWord(w.Phase))
+		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, wavePhaseName(w.Phase))
 	}
 	i, err := s.instance(st.Instance)
 	if err != nil {
@@ -137,7 +140,7 @@
 func (s *State) advanceStep(base uint64, a *jaywire.AdvanceStep, e *jaywire.AuditEntry) error {
 	e.Kind = "step"
 	e.Subject = a.Instance
-	e.After = stepWord(a.Phase)
+	e.After = stepPhaseName(a.Phase)
 	w, ok := s.Wave(a.Wave)
 	if !ok {
 		return fmt.Errorf("%w: wave %s", ErrNoSuch, a.Wave)
@@ -146,7 +149,7 @@
 	if !ok {
 		return fmt.Errorf("%w: no step of %s in wave %s", ErrNoSuch, a.Instance, a.Wave)
 	}
-	e.Before = stepWord(step.Phase)
+	e.Before = stepPhaseName(step.Phase)
 	if err := s.advanceInstance(base, a); err != nil {
 		return err
 	}
@@ -169,8 +172,9 @@
 	}
 }
 
-// abandon ends a step whose instance does not come back, so that it does not
-// block the wave, or that was cancelled before its reboot.
+// abandon ends a step that was cancelled before its reboot, or whose instance
+// does not come back, so that the step does not block the wave. An instance
+// that did not come back is marked as failed.
 func (s *State) abandon(base uint64, a *jaywire.AdvanceStep) error {
 	i, err := s.instance(a.Instance)
 	if err != nil {
@@ -192,6 +196,7 @@
 	return nil
 }
 
+// lastStep returns the newest step of an instance.
 func (w *Wave) lastStep(instance string) (*Step, bool) {
 	for n := len(w.Steps) - 1; n >= 0; n-- {
 		if w.Steps[n].Instance == instance {
@@ -201,7 +206,7 @@
 	return nil, false
 }
 
-func phaseWord(p jaywire.WavePhase) string {
+func wavePhaseName(p jaywire.WavePhase) string {
 	switch p {
 	case jaywire.WavePhase_WAVE_PHASE_RUNNING:
 		return "running"
@@ -216,16 +221,17 @@
 	}
 }
 
-// String returns the wave's phase as operators read it.
+// String returns the name of the wave's phase, with a mark for a pause by the
+// planner.
 func (w *Wave) String() string {
-	word := phaseWord(w.Phase)
+	word := wavePhaseName(w.Phase)
 	if w.Automatic && w.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED {
 		return word + " (automatic)"
 	}
 	return word
 }
 
-func stepWord(p jaywire.StepPhase) string {
+func stepPhaseName(p jaywire.StepPhase) string {
 	switch p {
 	case jaywire.StepPhase_STEP_PHASE_UNSPECIFIED:
 		return "draining"
--- a/jaystate/fuzz_test.go
+++ b/jaystate/fuzz_test.go
@@ -8,8 +8,8 @@
 	"jaythread/jaywire"
 )
 
-// FuzzRecord looks for records that make the fold panic or leave a state that
-// cannot be written and read again.
+// FuzzRecord searches for records that make Apply panic or lead to a state
+// whose snapshot cannot be loaded.
 func FuzzRecord(f *testing.F) {
 	f.Add(record(f, publish("a", 0, document)))
 	f.Add(record(f, attach("seats-9", 0, "seats", "r"), startStep("w", "seats-0", 1)))
@@ -21,7 +21,7 @@
 		}
 		snapshot, err := s.Snapshot()
 		if err != nil {
-			t.Skip() // a text that is no UTF-8 cannot be written
+			t.Skip() // protobuf cannot encode a string that is not valid UTF-8
 		}
 		if _, err := Load(snapshot); err != nil {
 			t.Fatal(err)
@@ -29,7 +29,7 @@
 	})
 }
 
-// FuzzSnapshot looks for snapshots that make the reader panic.
+// FuzzSnapshot searches for snapshots that make Load or restore panic.
 func FuzzSnapshot(f *testing.F) {
 	snapshot, err := newState(f).Snapshot()
 	if err != nil {
--- a/jaystate/snapshot.go
+++ b/jaystate/snapshot.go
@@ -17,27 +17,29 @@
 	"jaythread/jaywire"
 )
 
-// snapshotFormat rises with each change that an older reader cannot take.
+// snapshotFormat is the version of the snapshot format. It is incremented with
+// each change that older programs cannot read.
 const snapshotFormat = 1
 
-// Errors of snapshots.
+// Errors that Load returns.
 var (
-	ErrSnapshotFormat = errors.New("snapshot has another format")
-	ErrSnapshotDigest = errors.New("snapshot is damaged: its digest does not match")
+	ErrSnapshotFormat = errors.New("unsupported snapshot format")
+	ErrSnapshotDigest = errors.New("snapshot is corrupt: digest mismatch")
 )
 
-// Snapshot returns the whole state with its digest. Equal states give equal
-// bytes.
+// Snapshot returns the encoded state with its digest. Equal states have equal
+// encodings.
 func (s *State) Snapshot() (*jaywire.Snapshot, error) {
 	state, err := proto.MarshalOptions{Deterministic: true}.Marshal(s.message())
 	if err != nil {
-		return nil, fmt.Errorf("write snapshot: %w", err)
+		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
 	digest := sha256.Sum256(state)
 	return &jaywire.Snapshot{Format: snapshotFormat, Offset: s.Offset, State: state, Digest: digest[:]}, nil
 }
 
-// Digest returns the SHA-256 of the state, to compare two entries.
+// Digest returns the SHA-256 hash of the encoded state, by which the states of
+// two entries are compared.
 func (s *State) Digest() ([]byte, error) {
 	snapshot, err := s.Snapshot()
 	if err != nil {
@@ -46,10 +48,10 @@
 	return snapshot.Digest, nil
 }
 
-// Load returns the state of a snapshot after it has verified the digest.
+// Load verifies the digest of a snapshot and returns its state.
 func Load(snapshot *jaywire.Snapshot) (*State, error) {
 	if snapshot.Format != snapshotFormat {
-		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrSnapshotFormat, snapshot.Format, snapshotFormat)
+		return nil, fmt.Errorf("%w: version %d, expected version %d", ErrSnapshotFormat, snapshot.Format, snapshotFormat)
 	}
 	digest := sha256.Sum256(snapshot.State)
 	if !bytes.Equal(digest[:], snapshot.Digest) {
@@ -57,7 +59,7 @@
 	}
 	m := &jaywire.State{}
 	if err := proto.Unmarshal(snapshot.State, m); err != nil {
-		return nil, fmt.Errorf("read snapshot: %w", err)
+		return nil, fmt.Errorf("decode snapshot: %w", err)
 	}
 	return restore(m)
 }
@@ -147,16 +149,16 @@
 		s.Planner = Planner{Entry: m.Planner.Entry, Term: m.Planner.Term}
 	}
 	for _, id := range m.RecentIds {
-		s.remember(id)
+		s.recordCommandID(id)
 	}
 	for _, e := range m.Entries {
 		s.Members = append(s.Members, Member{Entry: e.Entry, PeerAddr: e.PeerAddr, DataCenter: e.DataCenter})
 	}
 	for _, i := range m.Instances {
-		s.Fleet.Restore(instanceOf(i))
+		s.Fleet.Restore(instanceFromMessage(i))
 	}
 	for _, w := range m.Waves {
-		s.Waves = append(s.Waves, waveOf(w))
+		s.Waves = append(s.Waves, waveFromMessage(w))
 	}
 	for _, t := range m.Tasks {
 		s.Tasks[TaskKey{Job: t.Job, Replica: t.Replica}] = &jayjob.Task{
@@ -175,13 +177,13 @@
 	}
 	parsed, err := jayconfig.Parse("configuration", c.Document)
 	if err != nil {
-		return fmt.Errorf("read snapshot: %w", err)
+		return fmt.Errorf("parse configuration in snapshot: %w", err)
 	}
 	s.Revision = Revision{Number: c.Revision, Document: c.Document, Author: c.Author, Message: c.Message, Parsed: parsed}
 	return nil
 }
 
-func instanceOf(i *jaywire.InstanceState) jaypool.Instance {
+func instanceFromMessage(i *jaywire.InstanceState) jaypool.Instance {
 	return jaypool.Instance{
 		ID:           i.Id,
 		Pool:         i.Pool,
@@ -203,7 +205,7 @@
 	}
 }
 
-func waveOf(w *jaywire.WaveState) *Wave {
+func waveFromMessage(w *jaywire.WaveState) *Wave {
 	wave := &Wave{ID: w.Id, Pools: w.Pools, Phase: w.Phase, Automatic: w.Automatic, Version: w.Version, StartedUnixMillis: w.StartedUnixMillis}
 	for _, step := range w.Steps {
 		wave.Steps = append(wave.Steps, Step{Instance: step.Instance, Phase: step.Phase, Fence: step.Fence, Boots: step.Boots})
--- a/jaystate/state.go
+++ b/jaystate/state.go
@@ -1,8 +1,9 @@
-// Package jaystate folds the records of the log service into the state that
-// all entry instances share. The fold, not the proposer, accepts or rejects a
-// command, by the rules of the aggregate at that offset; so racing proposers
-// are resolved in log order, everywhere the same way. It has no clock and no
-// I/O.
+// Package jaystate is a replicated state machine: it applies the records of the
+// log service to the state that all entry instances share. A command is accepted
+// or rejected when it is applied, not when it is proposed, by the rules of the
+// aggregates at that offset. Conflicts between concurrent proposers are therefore
+// resolved in log order, with the same result on every entry. The package uses no
+// clock and no I/O.
 package jaystate
 
 import (
@@ -17,14 +18,17 @@
 )
 
 const (
-	// auditKept bounds the audit entries in memory and in snapshots. Older
-	// ones are read from the log service as long as it keeps them.
-	auditKept = 2000
-	// idsKept bounds the command identities that are remembered. A repeat
-	// comes from a retried append, seconds later, not thousands of commands.
-	idsKept = 8192
-	// endedWavesKept bounds the ended waves that status can show.
-	endedWavesKept = 16
+	// maxAuditEntries limits the number of audit entries in memory and in
+	// snapshots. Older ones are read from the log service as long as it
+	// retains them.
+	maxAuditEntries = 2000
+	// maxRecentIDs limits the number of command IDs that are kept to detect
+	// repeats. A repeat comes from a retried append, which follows the first
+	// one after seconds, not after thousands of commands.
+	maxRecentIDs = 8192
+	// maxEndedWaves limits the number of ended waves that are kept for the
+	// status report.
+	maxEndedWaves = 16
 )
 
 // Member is an entry instance that has joined.
@@ -34,13 +38,15 @@
 	DataCenter string
 }
 
-// Planner says which entry plans now. It only saves duplicate work.
+// Planner is the entry that holds the planner lease. The lease only avoids
+// duplicate work: the state stays correct when several entries plan.
 type Planner struct {
 	Entry string
 	Term  uint64
 }
 
-// Revision is an accepted configuration; its number is its offset plus one.
+// Revision is an accepted configuration. Its number is the offset of its record
+// plus one.
 type Revision struct {
 	Number   uint64
 	Document []byte
@@ -49,13 +55,14 @@
 	Parsed   *jayconfig.Configuration
 }
 
-// Step is one instance's part in a wave.
+// Step is the maintenance of one instance in a wave.
 type Step struct {
 	Instance string
 	Phase    jaywire.StepPhase
 	// Fence is the offset at which the step was accepted.
 	Fence uint64
-	// Boots is the instance's count of starts before the step.
+	// Boots is the number of times that the instance had booted before the
+	// step.
 	Boots int64
 }
 
@@ -67,7 +74,8 @@
 	Automatic bool
 	Version   uint64
 	Steps     []Step
-	// StartedUnixMillis is by the clock of who proposed the start.
+	// StartedUnixMillis is the time of the start in Unix milliseconds, by the
+	// clock of its proposer.
 	StartedUnixMillis int64
 }
 
@@ -76,24 +84,24 @@
 	return w.Phase == jaywire.WavePhase_WAVE_PHASE_RUNNING || w.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED
 }
 
-// TaskKey names a task.
+// TaskKey identifies a task.
 type TaskKey struct {
 	Job     string
 	Replica int32
 }
 
-// Measures count what operators measure, since the first record.
+// Measures are metrics over all records since the first one.
 type Measures struct {
 	InstanceMoves uint64
 	TaskMoves     uint64
-	// LastRollOut is how long the last wave that was done took, by its
-	// proposers' clocks.
+	// LastRollOut is the duration of the last completed wave, by the clocks
+	// of its proposers.
 	LastRollOut time.Duration
 }
 
-// State is the folded state. Only Apply changes it.
+// State is the state after all records before Offset. Only Apply changes it.
 type State struct {
-	// Offset is the next offset to fold.
+	// Offset is the offset of the next record to apply.
 	Offset   uint64
 	Revision Revision
 	Members  []Member
@@ -109,7 +117,7 @@
 	recentIDs []string
 }
 
-// New returns the empty state before the first record.
+// New returns the state before the first record, which is empty.
 func New() *State {
 	return &State{
 		Fleet:  jaypool.NewFleet(),
@@ -124,7 +132,7 @@
 	return s.Revision.Parsed
 }
 
-// Member returns the entry with this identity.
+// Member returns the entry with an ID.
 func (s *State) Member(entry string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(s.Members, entry, func(m Member, e string) int { return cmp.Compare(m.Entry, e) })
 	if !ok {
@@ -133,7 +141,7 @@
 	return s.Members[i], true
 }
 
-// Wave returns the wave with this identity.
+// Wave returns the wave with an ID.
 func (s *State) Wave(id string) (*Wave, bool) {
 	for _, w := range s.Waves {
 		if w.ID == id {
@@ -153,7 +161,7 @@
 	return nil, false
 }
 
-// TaskKeys returns the keys of all tasks in order.
+// TaskKeys returns the keys of all tasks, sorted by job and replica.
 func (s *State) TaskKeys() []TaskKey {
 	keys := make([]TaskKey, 0, len(s.Tasks))
 	for k := range s.Tasks {
@@ -165,11 +173,14 @@
 	return keys
 }
 
-// Audit returns the newest audit entries, oldest first; do not change them.
+// Audit returns the newest audit entries, oldest first. The caller must not
+// change them.
 func (s *State) Audit() []*jaywire.AuditEntry {
 	return s.audit
 }
 
+// budget returns the availability budget of a pool, or an empty one when no
+// configuration is in force.
 func (s *State) budget(pool string) jaypool.Budget {
 	if s.Revision.Parsed == nil {
 		return jaypool.Budget{}
@@ -177,8 +188,9 @@
 	return s.Revision.Parsed.Budget(pool)
 }
 
-// remember notes a command's identity and reports whether it is new.
-func (s *State) remember(id string) bool {
+// recordCommandID records the ID of a command and reports whether it is new.
+// Commands without an ID always count as new.
+func (s *State) recordCommandID(id string) bool {
 	if id == "" {
 		return true
 	}
@@ -187,7 +199,7 @@
 	}
 	s.recent[id] = struct{}{}
 	s.recentIDs = append(s.recentIDs, id)
-	if len(s.recentIDs) > idsKept {
+	if len(s.recentIDs) > maxRecentIDs {
 		delete(s.recent, s.recentIDs[0])
 		s.recentIDs = s.recentIDs[1:]
 	}
