--- a/jayjournal/delivery.go
+++ b/jayjournal/delivery.go
@@ -9,47 +9,50 @@
 )
 
 const (
-	// repeatAfter is how long a sending waits at least before the append is sent
-	// again beside it: about ten times what a store takes that is well.
-	repeatAfter = 120 * time.Millisecond
-	// latencyMargin times the store's present latency is waited at least: a store that
-	// is slow would otherwise get each append several times.
+	// minHedgeDelay is the minimum time without a response after which the
+	// append is sent again while earlier attempts stay in flight. It is about
+	// ten times the append latency of a healthy store.
+	minHedgeDelay = 120 * time.Millisecond
+	// latencyMargin is the factor by which the hedge delay and the timeout must
+	// exceed the store's current latency. Without it a slow store would receive
+	// each append several times.
 	latencyMargin = 4
-	// shortestTimeout and longestTimeout bound how long one sending may take, also of a
-	// store that is slow.
-	shortestTimeout = 800 * time.Millisecond
-	longestTimeout  = 2400 * time.Millisecond
-	// maxSendings bounds the sendings of one append that are under way.
-	maxSendings = 3
+	// minTimeout and maxTimeout bound the timeout of one attempt, whatever the
+	// store's current latency.
+	minTimeout = 800 * time.Millisecond
+	maxTimeout = 2400 * time.Millisecond
+	// maxInFlight limits the attempts of one append that are in flight, and how
+	// often the timeout is doubled.
+	maxInFlight = 3
 )
 
-// outcome is what came of one sending of an append.
-type outcome struct {
+// attemptResult is the result of one attempt to append.
+type attemptResult struct {
 	sequence int64
 	err      error
 }
 
-// delivery brings one append to a known outcome.
+// delivery repeats one append until its outcome is known.
 //
-// What goes wrong: answers are lost, or the store is slow, and both look alike at
-// first. Whoever waits long for the first answer keeps the callers of a lossy store
-// waiting, and whoever gives it up soon has a slow one do everything again and again.
-// So an append is sent again beside the sendings that are under way, whose answers
-// still count.
+// When a response is missing, it was lost or the store is slow, and the two cannot be
+// told apart at first. Waiting long before a retry delays the callers when responses
+// are lost; giving up early makes a slow store execute the same append again and again.
+// Appends are therefore hedged: the append is sent again while earlier attempts stay in
+// flight, and the response to any attempt counts.
 type delivery struct {
 	journal *Journal
 	call    jayport.Append
-	answers chan outcome
-	// underWay counts the sendings that were not answered yet.
-	underWay int
-	// mayHaveRun says that a sending has ended without an answer.
-	mayHaveRun bool
-	// sendings counts all of them.
-	sendings int
+	results chan attemptResult
+	// inFlight is the number of attempts without a result.
+	inFlight int
+	// mayHaveTakenEffect is true once an attempt has ended without a response.
+	mayHaveTakenEffect bool
+	// attempts is the number of attempts made.
+	attempts int
 }
 
-// deliver appends records and repeats the same append until its outcome is known. It
-// does not return ErrNoAnswer.
+// deliver appends records, repeating the append until its outcome is known. It never
+// returns ErrNoAnswer.
 func (j *Journal) deliver(ctx context.Context, records []jayport.Record) error {
 	d := &delivery{
 		journal: j,
@@ -59,14 +62,14 @@
 			Producer:  &jayport.Producer{Name: j.producer, Epoch: j.epoch, Sequence: j.sequence + 1},
 			AsOf:      jayport.AnyOffset,
 		},
-		answers: make(chan outcome, maxSendings),
+		results: make(chan attemptResult, maxInFlight),
 	}
 	if len(records) == 0 {
 		d.call.Producer.Sequence = 0
 	}
 	started := j.clock()
-	j.stuckSince.Store(int64(started))
-	defer j.stuckSince.Store(0)
+	j.appendStarted.Store(int64(started))
+	defer j.appendStarted.Store(0)
 	err := d.run(ctx)
 	if err == nil {
 		j.onAppend(j.clock()-started, len(records))
@@ -75,47 +78,49 @@
 }
 
 func (d *delivery) run(ctx context.Context) error {
-	wait := max(repeatAfter, latencyMargin*d.journal.latency())
+	wait := max(minHedgeDelay, latencyMargin*d.journal.latency())
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		if d.underWay == 0 {
+		if d.inFlight == 0 {
 			d.send()
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
-			if d.underWay < maxSendings {
+			if d.inFlight < maxInFlight {
 				d.send()
 			}
 			wait *= 2
 			timer.Reset(wait)
-		case o := <-d.answers:
-			d.underWay--
-			if known, err := d.take(ctx, o); known {
+		case o := <-d.results:
+			d.inFlight--
+			if known, err := d.handleResult(ctx, o); known {
 				return err
 			}
 		}
 	}
 }
 
-// send sends the append once more. Its answer is waited for longer each time.
+// send starts an attempt. Each attempt has a longer timeout than the one before, up to
+// maxTimeout.
 func (d *delivery) send() {
 	call, producer := d.call, *d.call.Producer
 	call.Producer = &producer
-	timeout := max(shortestTimeout, latencyMargin*d.journal.latency())
-	timeout = min(timeout<<min(d.sendings, maxSendings), longestTimeout)
-	d.sendings++
-	d.underWay++
+	timeout := max(minTimeout, latencyMargin*d.journal.latency())
+	timeout = min(timeout<<min(d.attempts, maxInFlight), maxTimeout)
+	d.attempts++
+	d.inFlight++
 	go func() {
 		_, err := d.journal.store.Append(call, timeout)
-		d.answers <- outcome{sequence: producer.Sequence, err: err}
+		d.results <- attemptResult{sequence: producer.Sequence, err: err}
 	}()
 }
 
-// take takes in an answer; known is true if it tells the outcome.
-func (d *delivery) take(ctx context.Context, o outcome) (known bool, err error) {
+// handleResult processes the result of an attempt; known is true if it determines the outcome
+// of the append.
+func (d *delivery) handleResult(ctx context.Context, o attemptResult) (known bool, err error) {
 	j := d.journal
 	var fenced *jayport.FencedError
 	var sequence *jayport.SequenceError
@@ -130,40 +135,42 @@
 	case errors.As(o.err, &sequence):
 		return d.renumber(o.sequence, sequence)
 	case errors.Is(o.err, jayport.ErrNotDone):
-		if j.refuse && !d.mayHaveRun && d.underWay == 0 {
+		if j.failOnReject && !d.mayHaveTakenEffect && d.inFlight == 0 {
 			return true, o.err
 		}
-		pause(ctx, refusedPause)
+		pause(ctx, rejectedRetryDelay)
 		return false, nil
 	case errors.Is(o.err, jayport.ErrMalformed):
-		j.logger.Error(o.err, "append refused", "partition", j.partition.String(), "records", len(d.call.Records))
+		j.logger.Error(o.err, "store rejected append as malformed", "partition", j.partition.String(), "records", len(d.call.Records))
 		return true, o.err
 	default:
-		d.mayHaveRun = true
+		d.mayHaveTakenEffect = true
 		j.logger.V(1).Info("append not answered", "partition", j.partition.String(), "error", o.err.Error())
 		return false, nil
 	}
 }
 
-// renumber takes in that the store expects another sequence number than that of a
-// sending.
+// renumber handles an attempt that the store rejected because it expects another
+// sequence number; known is true if this determines the outcome of the append.
 func (d *delivery) renumber(sent int64, refused *jayport.SequenceError) (known bool, err error) {
 	j := d.journal
 	switch {
 	case len(d.call.Records) == 0:
-		// No producer with a higher epoch has come, which is all that was asked.
+		// An append without records only checks that no producer has a higher
+		// epoch, which is the case.
 		return true, nil
 	case sent != d.call.Producer.Sequence:
-		// An earlier sending, with the number that was taken back since.
+		// The result belongs to an earlier attempt, whose number was replaced
+		// since.
 		return false, nil
-	case j.sequence == 0 && !d.mayHaveRun:
-		// The first append of an epoch starts where the store says.
+	case j.sequence == 0 && !d.mayHaveTakenEffect:
+		// The first append of an epoch takes the number that the store expects.
 		j.sequence = refused.Expected - 1
 		d.call.Producer.Sequence = refused.Expected
 		return false, nil
 	default:
-		// Nobody else uses this name and epoch, so that only a fault of
-		// the store's or of this program's can lead here.
+		// No other producer uses this name and epoch, so only a bug in the store
+		// or in this program can lead here.
 		j.logger.Error(refused, "sequence is broken", "partition", j.partition.String(), "sequence", sent)
 		return true, &jayport.FencedError{}
 	}
--- a/jayjournal/journal.go
+++ b/jayjournal/journal.go
@@ -1,5 +1,5 @@
 // Package jayjournal appends records to one partition of the platform's store,
-// in order and each exactly once, whatever answers are lost on the way.
+// in order and exactly once, even if responses are lost.
 package jayjournal
 
 import (
@@ -16,25 +16,28 @@
 )
 
 const (
-	// maxQueued bounds the entries that wait for an append.
+	// maxQueued limits the number of entries that wait for an append.
 	maxQueued = 4096
-	// maxBatchBytes bounds one append; the store takes twice as much.
+	// maxBatchBytes is the size in bytes from which no further entry is added to
+	// an append. The store accepts twice as much.
 	maxBatchBytes = 1 << 20
-	// maxBatchRecords bounds the records of one append.
+	// maxBatchRecords is the number of records from which no further entry is
+	// added to an append.
 	maxBatchRecords = 1000
-	// refusedPause is before an append is sent again that was rejected.
-	refusedPause = 100 * time.Millisecond
+	// rejectedRetryDelay is the delay before a rejected append is sent again.
+	rejectedRetryDelay = 100 * time.Millisecond
 )
 
-// ErrFull is reported for an entry that finds the journal's queue full. It has
-// no effect.
+// ErrFull is returned for an entry when the journal's queue is full. The entry
+// has no effect.
 var ErrFull = errors.New("journal is full")
 
-// Entry is a set of records that are appended together.
+// Entry is a set of records that are appended together, or a check for fencing
+// if it has no records.
 type Entry struct {
 	Records []jayport.Record
-	// Done is called once: with nil when the records stand in the store, with
-	// jayport.ErrNotDone if they never will by this entry, and with a
+	// Done is called once: with nil when the records are stored, with
+	// jayport.ErrNotDone if the entry has no effect, and with a
 	// *jayport.FencedError if another producer has taken over.
 	Done func(error)
 
@@ -47,18 +50,19 @@
 	entryWithdrawn
 )
 
-// NewEntry returns an entry for some records.
+// NewEntry returns an entry for records; done becomes its Done.
 func NewEntry(records []jayport.Record, done func(error)) *Entry {
 	return &Entry{Records: records, Done: done}
 }
 
-// Withdraw takes an entry back that was not sent yet. If it returns true, the
-// records have not been and never will be appended, and Done is not called.
+// Withdraw cancels an entry that was not sent yet. If it returns true, the records
+// have not been and never will be appended, and Done is not called.
 func (e *Entry) Withdraw() bool {
 	return e.state.CompareAndSwap(entryQueued, entryWithdrawn)
 }
 
-// Journal is the only producer of its name and epoch in its partition.
+// Journal appends records to a partition. It must be the only producer with its
+// name and epoch there.
 type Journal struct {
 	store     jayport.Store
 	partition jayport.Partition
@@ -66,38 +70,41 @@
 	epoch     int64
 	clock     jayclock.Clock
 	logger    logr.Logger
-	refuse    bool
+	// failOnReject is set by WithRefusals.
+	failOnReject bool
 
 	queue    *jayring.Ring[*Entry]
 	sequence int64
-	// stuckSince is since when an append has been waiting for its answer, or
-	// zero.
-	stuckSince atomic.Int64
-	latency    func() time.Duration
-	onAppend   func(took time.Duration, records int)
+	// appendStarted is the clock's time at which the current append began, or
+	// zero if there is none.
+	appendStarted atomic.Int64
+	// latency returns the store's current latency of appends.
+	latency  func() time.Duration
+	onAppend func(took time.Duration, records int)
 }
 
-// Option changes how a journal is made.
+// Option configures a journal.
 type Option func(*Journal)
 
-// WithRefusals makes the journal give up an append that the store has turned
-// away for certain, instead of sending it again.
+// WithRefusals makes the journal report jayport.ErrNotDone for an append once the
+// store has certainly rejected every attempt, instead of retrying it.
 func WithRefusals() Option {
-	return func(j *Journal) { j.refuse = true }
+	return func(j *Journal) { j.failOnReject = true }
 }
 
-// WithLatency sets where the journal learns how long the store takes for an
-// append at present.
+// WithLatency sets a function that returns the store's current latency of
+// appends.
 func WithLatency(latency func() time.Duration) Option {
 	return func(j *Journal) { j.latency = latency }
 }
 
-// WithObserver sets a function that is told of each append.
+// WithObserver sets a function that is called after each successful append, with
+// its duration and number of records.
 func WithObserver(onAppend func(took time.Duration, records int)) Option {
 	return func(j *Journal) { j.onAppend = onAppend }
 }
 
-// New returns a journal that is not started.
+// New returns a journal; Run starts it.
 func New(store jayport.Store, p jayport.Partition, producer string, epoch int64, clock jayclock.Clock, logger logr.Logger, options ...Option) *Journal {
 	j := &Journal{
 		store:     store,
@@ -116,7 +123,7 @@
 	return j
 }
 
-// Add queues an entry.
+// Add queues an entry. It returns ErrFull if the queue is full.
 func (j *Journal) Add(e *Entry) error {
 	if !j.queue.Offer(e) {
 		return ErrFull
@@ -124,28 +131,29 @@
 	return nil
 }
 
-// StuckFor returns for how long the present append has been waiting for its
-// answer.
+// StuckFor returns the time since the current append began, or zero if there is
+// none.
 func (j *Journal) StuckFor() time.Duration {
-	since := j.stuckSince.Load()
+	since := j.appendStarted.Load()
 	if since == 0 {
 		return 0
 	}
 	return j.clock() - time.Duration(since)
 }
 
-// Fence sets the epoch in the partition, so that no append of an older epoch
-// is taken any more. Its error is a *jayport.FencedError or that of the
-// context. An entry without records does the same later on.
+// Fence sets the epoch in the partition, so that the store rejects all appends of
+// older epochs. Its error is a *jayport.FencedError or that of the context. An
+// entry without records has the same effect when its turn comes.
 func (j *Journal) Fence(ctx context.Context) error {
 	return j.deliver(ctx, nil)
 }
 
-// Run appends what is queued until the context ends or another producer takes
-// over, and returns why it ended.
+// Run appends the queued entries until the context ends, another producer takes
+// over or the store rejects an append as malformed, and returns the error that
+// ended it.
 func (j *Journal) Run(ctx context.Context) error {
 	for {
-		batch := j.take()
+		batch := j.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -168,8 +176,8 @@
 	}
 }
 
-// take returns the entries of the next append.
-func (j *Journal) take() []*Entry {
+// nextBatch dequeues the entries of the next append.
+func (j *Journal) nextBatch() []*Entry {
 	var batch []*Entry
 	size, records := 0, 0
 	for size < maxBatchBytes && records < maxBatchRecords {
--- a/jayjournal/journal_test.go
+++ b/jayjournal/journal_test.go
@@ -18,8 +18,8 @@
 	"jaythread/jayport"
 )
 
-// scriptedStore answers appends by a script and then well. Like the platform's
-// it takes a numbered append once.
+// scriptedStore responds to the first appends as its script says; later ones
+// succeed. Like the platform's store it applies each sequence number once.
 type scriptedStore struct {
 	jayport.Store
 	mu     sync.Mutex
@@ -28,38 +28,38 @@
 	order  []string
 	calls  int
 	epoch  int64
-	// numbered says that appends without records must be numbered as well.
+	// numbered is true if appends without records need a sequence number too.
 	numbered bool
 }
 
-// answer is one answer of the script; done says that the append takes effect
-// all the same.
+// answer is one response of the script. If done is true, the append takes effect
+// even if the response is an error.
 type answer struct {
 	err  error
 	done bool
 }
 
 var (
-	lostDone    = answer{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer), done: true}
-	lostNotDone = answer{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer)}
-	rejected    = answer{err: fmt.Errorf("%w: test", jayport.ErrNotDone)}
+	lostAfterAppend  = answer{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer), done: true}
+	lostBeforeAppend = answer{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer)}
+	rejected         = answer{err: fmt.Errorf("%w: test", jayport.ErrNotDone)}
 )
 
 func newStore(script ...answer) *scriptedStore {
 	return &scriptedStore{script: script, taken: map[int64][]jayport.Record{}}
 }
 
-// Append takes an append unless the script says otherwise. A lost answer keeps its
-// caller waiting, nobody else.
+// Append applies an append unless the script says otherwise. When the response is
+// lost, only the caller of this append waits for its timeout.
 func (s *scriptedStore) Append(a jayport.Append, timeout time.Duration) (jayport.Appended, error) {
-	err := s.take(a)
+	err := s.apply(a)
 	if errors.Is(err, jayport.ErrNoAnswer) {
 		time.Sleep(timeout)
 	}
 	return jayport.Appended{}, err
 }
 
-func (s *scriptedStore) take(a jayport.Append) error {
+func (s *scriptedStore) apply(a jayport.Append) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -84,21 +84,22 @@
 	return next.err
 }
 
-// start runs a journal over a store on the fake clock.
+// start runs a journal on a store with the fake clock of synctest.
 func start(t *testing.T, s *scriptedStore, options ...Option) *Journal {
 	t.Helper()
 	j := New(s, jayport.Partition{Topic: "jobs"}, "entry", 1, jayclock.Since(time.Now().Add(-time.Hour)), logr.Discard(), options...)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
-		// Sendings that are under way end by their own timeouts.
-		time.Sleep(longestTimeout)
+		// Attempts in flight end by their own timeouts.
+		time.Sleep(maxTimeout)
 	})
 	go func() { _ = j.Run(ctx) }()
 	return j
 }
 
-// add adds an entry of one key and returns where its outcome comes.
+// add adds an entry with one key and returns it with the channel that receives its
+// outcome.
 func add(t *testing.T, j *Journal, key string) (*Entry, chan error) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -107,7 +108,7 @@
 	return e, done
 }
 
-func TestJournal(t *testing.T) {
+func TestAppendOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
 		script  []answer
@@ -116,17 +117,17 @@
 		keys    []string
 	}{
 		{"good", nil, nil, nil, []string{"a"}},
-		// Symptom: a job is accepted twice, or never. Sequence: the answer to
-		// its append is lost. Cause: it was taken for a failure.
-		{"answer lost, append done", []answer{lostDone}, nil, nil, []string{"a"}},
-		{"answer lost, append not done", []answer{lostNotDone, lostDone, lostNotDone}, nil, nil, []string{"a"}},
+		// A missing response must not be treated as a failed append: the job
+		// would be accepted twice, or never.
+		{"answer lost, append done", []answer{lostAfterAppend}, nil, nil, []string{"a"}},
+		{"answer lost, append not done", []answer{lostBeforeAppend, lostAfterAppend, lostBeforeAppend}, nil, nil, []string{"a"}},
 		{"rejected, sent again", []answer{rejected, rejected}, nil, nil, []string{"a"}},
 		{"rejected, refused", []answer{rejected}, []Option{WithRefusals()}, jayport.ErrNotDone, nil},
-		// Symptom: a job that was refused runs. Sequence: the answer to its
-		// append is lost; the repeated append is rejected. Cause: the
-		// refusal was taken to speak for both.
-		{"lost, then rejected", []answer{lostDone, rejected}, []Option{WithRefusals()}, nil, []string{"a"}},
-		{"lost, then rejected until it is given up, and after", append([]answer{lostDone}, slices.Repeat([]answer{rejected}, 12)...), []Option{WithRefusals()}, nil, []string{"a"}},
+		// The response to an append is lost and the retry is rejected. The
+		// rejection says nothing about the first attempt: a job that was
+		// reported as refused could run.
+		{"lost, then rejected", []answer{lostAfterAppend, rejected}, []Option{WithRefusals()}, nil, []string{"a"}},
+		{"lost, then rejected until it is given up, and after", append([]answer{lostAfterAppend}, slices.Repeat([]answer{rejected}, 12)...), []Option{WithRefusals()}, nil, []string{"a"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -142,10 +143,10 @@
 	}
 }
 
-func TestEntriesShareAppends(t *testing.T) {
+func TestQueuedEntriesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newStore(lostNotDone)
+		s := newStore(lostBeforeAppend)
 		j := start(t, s)
 		_, first := add(t, j, "a")
 		synctest.Wait()
@@ -158,7 +159,7 @@
 		for _, done := range others {
 			is.NoErr(<-done)
 		}
-		is.Equal(s.calls, 3) // the lost one, it again, all others
+		is.Equal(s.calls, 3) // the attempt without a response, its retry, and one append for the others
 		is.Equal(len(s.order), 51)
 	})
 }
@@ -166,12 +167,12 @@
 func TestWithdraw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newStore(lostNotDone)
+		s := newStore(lostBeforeAppend)
 		j := start(t, s)
 		sent, done := add(t, j, "sent")
 		synctest.Wait()
 		waiting, never := add(t, j, "waiting")
-		is.True(!sent.Withdraw()) // it may take effect
+		is.True(!sent.Withdraw()) // it may have taken effect
 		is.True(waiting.Withdraw())
 		is.True(j.StuckFor() == 0)
 		time.Sleep(100 * time.Millisecond)
@@ -183,7 +184,7 @@
 	})
 }
 
-func TestNewerEpochEndsTheJournal(t *testing.T) {
+func TestHigherEpochStopsJournal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
@@ -198,7 +199,7 @@
 	})
 }
 
-func TestEntryWithoutRecordsAsksWhetherTheProducerIsFencedOff(t *testing.T) {
+func TestEmptyEntryChecksFencing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
@@ -211,7 +212,7 @@
 		}
 		_, added := add(t, j, "a")
 		is.NoErr(<-added)
-		is.NoErr(ask()) // a store that minds the number of such an append says the same
+		is.NoErr(ask()) // a store that checks the sequence number of an empty append gives the same result
 		_, added = add(t, j, "b")
 		is.NoErr(<-added)
 		is.Equal(s.order, []string{"a", "b"})
@@ -223,35 +224,33 @@
 	})
 }
 
-// Symptom: in a rush jobs wait for a second and more, and are refused, though the
-// store answers within 15 ms.
-// Sequence: the store loses a third of its answers; each lost one is waited for, the
-// next append waits for longer still.
-// Cause: a missing answer was taken to say that the store is slow.
-func TestLostAnswersHoldAppendsUpShortly(t *testing.T) {
+// A missing response must not count as a sign of a slow store. When a store that
+// responds within 15 ms lost a third of its responses, each loss made the next append
+// wait longer, until jobs waited for more than a second and were refused under load.
+func TestLostResponsesDelayAppendsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newStore(lostDone, answer{done: true}, lostDone, lostDone, answer{done: true}, lostNotDone)
+		s := newStore(lostAfterAppend, answer{done: true}, lostAfterAppend, lostAfterAppend, answer{done: true}, lostBeforeAppend)
 		j := start(t, s)
 		began := time.Now()
 		for n := range 4 {
 			_, done := add(t, j, fmt.Sprint(n))
 			is.NoErr(<-done)
 		}
-		// Four lost answers: three after the first wait, one after the second.
-		is.Equal(time.Since(began), 5*repeatAfter)
+		// Four responses are lost. Three cost one hedge delay each; the fourth,
+		// lost directly after another one, costs the doubled second delay.
+		is.Equal(time.Since(began), 5*minHedgeDelay)
 		is.Equal(s.order, []string{"0", "1", "2", "3"})
 	})
 }
 
-// Symptom: a slow store gets each append several times and becomes slower still.
-// Sequence: an append takes 300 ms; it is sent again before its answer can come, and
-// the answer to the first sending is thrown away.
-// Cause: only the answer to the newest sending counted.
-func TestAnswerToTheFirstSendingCounts(t *testing.T) {
+// The response to every attempt must count, not only to the newest one. Otherwise a
+// store that takes 300 ms for an append receives it again before it can respond, the
+// first response is discarded, and the repeated appends make the store even slower.
+func TestResponseToFirstAttemptCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slowStore{takes: 300 * time.Millisecond}
+		s := &slowStore{delay: 300 * time.Millisecond}
 		latency := time.Duration(0)
 		j := New(s, jayport.Partition{Topic: "jobs"}, "entry", 1, jayclock.Since(time.Now().Add(-time.Hour)), logr.Discard(),
 			WithLatency(func() time.Duration { return latency }))
@@ -260,41 +259,41 @@
 		began := time.Now()
 		_, done := add(t, j, "a")
 		is.NoErr(<-done)
-		is.Equal(time.Since(began), s.takes)
+		is.Equal(time.Since(began), s.delay)
 		is.Equal(s.calls.Load(), int32(2))
-		// Once it is known how slow the store is, each append is sent once.
-		latency = s.takes
+		// Once the latency of the store is known, each append is sent once.
+		latency = s.delay
 		_, done = add(t, j, "b")
 		is.NoErr(<-done)
 		is.Equal(s.calls.Load(), int32(3))
 		cancel()
-		time.Sleep(longestTimeout)
+		time.Sleep(maxTimeout)
 	})
 }
 
-// slowStore takes an append after a while.
+// slowStore accepts each append after a delay.
 type slowStore struct {
 	jayport.Store
-	takes time.Duration
+	delay time.Duration
 	calls atomic.Int32
 }
 
-// Append adds records.
+// Append counts the append and waits for the delay.
 func (s *slowStore) Append(jayport.Append, time.Duration) (jayport.Appended, error) {
 	s.calls.Add(1)
-	time.Sleep(s.takes)
+	time.Sleep(s.delay)
 	return jayport.Appended{}, nil
 }
 
-// Symptom: a new owner ends with "sequence is broken" and its pool waits for the next.
-// Sequence: the first append of an epoch is sent twice, since the store is slow; the
-// store expects another number and says so to both; the second refusal comes after the
-// number was taken over from the first.
-// Cause: a refusal was not held against the number that had been sent.
-func TestRefusedNumberOfAnEarlierSendingIsPassedOver(t *testing.T) {
+// A SequenceError must be compared with the number that its attempt carried. The first
+// append of an epoch is sent twice because the store is slow, and the store rejects both
+// since it expects another number. The second rejection arrives after the number was
+// corrected; without the comparison it ended the new owner with "sequence is broken" and
+// left its pool without an owner.
+func TestSequenceErrorOfEarlierAttemptIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &renumberingStore{expects: 7, takes: 200 * time.Millisecond}
+		s := &renumberingStore{expects: 7, delay: 200 * time.Millisecond}
 		j := New(s, jayport.Partition{Topic: "jobs"}, "entry", 1, jayclock.Since(time.Now().Add(-time.Hour)), logr.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = j.Run(ctx) }()
@@ -302,24 +301,24 @@
 		is.NoErr(<-done)
 		is.Equal(s.refused.Load(), int32(2))
 		_, done = add(t, j, "b")
-		is.NoErr(<-done) // numbered on from there
+		is.NoErr(<-done) // the numbers continue from there
 		cancel()
-		time.Sleep(longestTimeout)
+		time.Sleep(maxTimeout)
 	})
 }
 
-// renumberingStore expects a number that the producer does not know.
+// renumberingStore expects a first sequence number that the producer does not know.
 type renumberingStore struct {
 	jayport.Store
 	expects int64
-	takes   time.Duration
+	delay   time.Duration
 	refused atomic.Int32
 	taken   atomic.Int64
 }
 
-// Append takes an append with the number expected, and its repeats.
+// Append accepts an append with the expected sequence number, and its repeats.
 func (s *renumberingStore) Append(a jayport.Append, _ time.Duration) (jayport.Appended, error) {
-	time.Sleep(s.takes)
+	time.Sleep(s.delay)
 	if a.Producer.Sequence < s.expects || a.Producer.Sequence > s.expects+s.taken.Load() {
 		s.refused.Add(1)
 		return jayport.Appended{}, &jayport.SequenceError{Expected: s.expects}
