--- a/jayrelay/codec.go
+++ b/jayrelay/codec.go
@@ -49,7 +49,7 @@
 	for _, r := range wire {
 		record := jayport.Record{Key: r.Key, Offset: r.Offset}
 		if !r.Removed {
-			// An empty value is no removal, but protobuf reads it as nil.
+			// An empty value is not a removal, but protobuf decodes it as nil.
 			record.Value = append([]byte{}, r.Value...)
 		}
 		records = append(records, record)
@@ -57,7 +57,7 @@
 	return records
 }
 
-// Serve makes a call for a peer on a store that this entry reaches itself.
+// Serve executes a peer's call on the store that this entry reaches directly.
 func Serve(direct jayport.Store, call *jaywire.StoreCall) *jaywire.StoreResult {
 	p := jayport.Partition{Topic: call.Topic, Number: int(call.Partition)}
 	timeout := time.Duration(call.TimeoutMillis) * time.Millisecond
@@ -93,7 +93,8 @@
 	return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_GOOD, First: appended.First, End: appended.End}
 }
 
-// OutcomeOf writes an error without its number.
+// OutcomeOf returns the outcome that encodes an error, without the number of the
+// error.
 func OutcomeOf(err error) jaywire.StoreOutcome {
 	if err == nil {
 		return jaywire.StoreOutcome_STORE_OUTCOME_GOOD
@@ -101,7 +102,8 @@
 	return resultOf(err).Outcome
 }
 
-// resultOf writes an error.
+// resultOf encodes an error with its number, if it has one. Errors that are not
+// part of package jayport are encoded as no answer.
 func resultOf(err error) *jaywire.StoreResult {
 	var (
 		stale    *jayport.StaleError
@@ -127,8 +129,8 @@
 	}
 }
 
-// ErrorOf reads the error of a result, or nil. An outcome that this program
-// does not know leaves open what the call did.
+// ErrorOf decodes the error of a result, or nil. An outcome that this program does
+// not know becomes jayport.ErrNoAnswer, since the call may have taken effect.
 func ErrorOf(result *jaywire.StoreResult) error {
 	switch result.GetOutcome() {
 	case jaywire.StoreOutcome_STORE_OUTCOME_GOOD:
--- a/jayrelay/regain.go
+++ b/jayrelay/regain.go
@@ -6,42 +6,43 @@
 	"jaythread/jayport"
 )
 
-// askedPartition is what the store is asked about to learn whether it is back.
-// The answer does not matter.
-var askedPartition = jayport.Partition{Topic: "entries"}
+// probePartition is the partition that probes read to learn whether the store is
+// available again. The records are discarded.
+var probePartition = jayport.Partition{Topic: "entries"}
 
-// askUntilBack asks the store every now and then whether it serves this entry
-// again. Calls that wait for an answer would find out only when their time is
-// over, up to some seconds later. The lock is held.
-func (s *Store) askUntilBack() {
-	if s.asking {
+// probeUntilRegained probes the store in the background until it serves this entry
+// again. Calls in flight would find out only when they time out, which can be
+// seconds later. The caller holds the lock.
+func (s *Store) probeUntilRegained() {
+	if s.probing {
 		return
 	}
-	s.asking = true
+	s.probing = true
 	go func() {
-		tick := time.NewTicker(askEvery)
+		tick := time.NewTicker(probeInterval)
 		defer tick.Stop()
 		for !s.Direct() {
-			// Several requests may be on their way: a silent store keeps each
-			// of them until its timeout.
-			go s.askOnce()
+			// Probes may overlap: a store that does not respond holds each one
+			// until its timeout.
+			go s.probe()
 			<-tick.C
 		}
 		s.mu.Lock()
-		s.asking = false
+		s.probing = false
 		s.mu.Unlock()
 	}()
 }
 
-func (s *Store) askOnce() {
+// probe sends one probe. If it succeeds, direct calls are resumed.
+func (s *Store) probe() {
 	sent := s.clock()
-	_, err := s.direct.Read(askedPartition, 0, 0, askTimeout)
+	_, err := s.direct.Read(probePartition, 0, 0, probeTimeout)
 	if pathFailed(err) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failures < distrustAfter {
+	if s.failures < failureThreshold {
 		return
 	}
 	s.failures = 0
@@ -51,24 +52,26 @@
 	s.logger.Info("store regained", "lostFor", (s.clock() - s.lostAt).String())
 }
 
-// RegainedAt returns when the store was last known to be back, or zero.
+// RegainedAt returns the clock's time at which the probe was sent that ended the
+// last outage, or zero if none has ended by a probe.
 func (s *Store) RegainedAt() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.regainedAt
 }
 
-// awaitRegained returns what is closed when the store is back next time.
+// awaitRegained returns a channel that is closed when a probe next finds the store
+// available again.
 func (s *Store) awaitRegained() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.regained
 }
 
-// hung reports whether a call that began at a time was sent well before the
-// store came back.
-func (s *Store) hung(began time.Duration) bool {
+// presumedLost reports whether a call that was sent at a given time was sent before
+// the end of the last outage by more than lostCallMargin.
+func (s *Store) presumedLost(began time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return began < s.regainedAt-hungMargin
+	return began < s.regainedAt-lostCallMargin
 }
--- a/jayrelay/relay.go
+++ b/jayrelay/relay.go
@@ -1,5 +1,5 @@
-// Package jayrelay reaches the platform's store for an entry that the store
-// does not serve: its calls go through peers that the store does serve.
+// Package jayrelay gives an entry access to the platform's store during an outage
+// of its own connection: calls are relayed by peers that the store still serves.
 package jayrelay
 
 import (
@@ -17,33 +17,33 @@
 )
 
 const (
-	// distrustAfter is how many direct calls in a row must fail before calls
-	// go to a peer first.
-	distrustAfter = 2
-	// askEvery is how often the store is asked whether it is back, and
-	// askTimeout how long each request may take. A store that is slow answers
-	// within it.
-	askEvery   = 150 * time.Millisecond
-	askTimeout = time.Second
-	// hungMargin is by how much a call must be older than the first request
-	// that is answered again, to count as lost.
-	hungMargin = 400 * time.Millisecond
-	// maxRelayWait bounds the wait of a read that a peer relays, so that a
-	// peer that falls silent is noticed.
+	// failureThreshold is the number of consecutive failures of direct calls after
+	// which calls go to peers only.
+	failureThreshold = 2
+	// probeInterval is the interval between probes during an outage of the store, and
+	// probeTimeout the timeout of one probe. A slow store responds within it.
+	probeInterval = 150 * time.Millisecond
+	probeTimeout  = time.Second
+	// lostCallMargin is the minimum time between the sending of a call and that of
+	// the first successful probe for the call to be presumed lost.
+	lostCallMargin = 400 * time.Millisecond
+	// maxRelayWait limits how long a relayed read may wait for records, so that
+	// a peer that stops responding is detected.
 	maxRelayWait = 500 * time.Millisecond
-	// peersPerCall bounds how many peers are asked for one call.
-	peersPerCall = 2
+	// maxPeersPerCall limits the number of peers that are tried for one call.
+	maxPeersPerCall = 2
 )
 
-// Peers are the entries that may relay calls.
+// Peers provides access to the entries that can relay calls.
 type Peers interface {
-	// Incarnations returns the entries that may be asked.
+	// Incarnations returns the IDs of the peers that calls may be sent to.
 	Incarnations() []string
-	// Relay asks one of them to make a call.
+	// Relay sends a call to a peer, which executes it on the store.
 	Relay(incarnation string, call *jaywire.StoreCall) (*jaywire.StoreResult, error)
 }
 
-// Store is the platform's store, reached directly or through a peer.
+// Store implements jayport.Store: it calls the platform's store directly or
+// through a peer.
 type Store struct {
 	direct jayport.Store
 	peers  Peers
@@ -53,47 +53,49 @@
 	mu       sync.Mutex
 	failures int
 	lostAt   time.Duration
-	// latency is a running mean of how long the store takes for an append.
+	// latency is a moving average of the duration of direct appends.
 	latency time.Duration
-	// relayPeer is the peer that relayed the last call.
+	// relayPeer is the peer that relayed the last call successfully, and nextPeer
+	// the index of the next peer to try otherwise.
 	relayPeer string
-	turn      int
-	// regained is closed when the store is back, which it was at the latest when
-	// the request was sent at regainedAt.
+	nextPeer  int
+	// regained is closed and replaced when a probe succeeds after an outage, and
+	// regainedAt is the clock's time at which that probe was sent.
 	regained   chan struct{}
 	regainedAt time.Duration
-	asking     bool
+	probing    bool
 }
 
-// New returns a store that falls back on peers.
+// New returns a store that falls back to peers when direct calls fail.
 func New(direct jayport.Store, peers Peers, clock jayclock.Clock, logger logr.Logger) *Store {
 	return &Store{direct: direct, peers: peers, clock: clock, logger: logger, regained: make(chan struct{})}
 }
 
-// Direct reports whether the store serves this entry itself.
+// Direct reports whether calls go directly to the store.
 func (s *Store) Direct() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failures < distrustAfter
+	return s.failures < failureThreshold
 }
 
-// LostFor returns for how long the store has not served this entry itself, or zero.
+// LostFor returns the duration of the current outage of the direct connection, or
+// zero if there is none.
 func (s *Store) LostFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failures < distrustAfter {
+	if s.failures < failureThreshold {
 		return 0
 	}
 	return s.clock() - s.lostAt
 }
 
-// Append adds records. An append without a producer is not repeated through a
-// peer once it may have taken effect.
+// Append adds records. An append without a producer is not retried through a peer
+// once it may have taken effect.
 func (s *Store) Append(a jayport.Append, timeout time.Duration) (jayport.Appended, error) {
 	return try(s, a.Producer != nil, func() (jayport.Appended, error) {
 		sent := s.clock()
 		got, err := s.direct.Append(a, timeout)
-		s.noteLatency(s.clock()-sent, err)
+		s.recordLatency(s.clock()-sent, err)
 		return got, err
 	}, func(peer string) (jayport.Appended, error) {
 		result, err := s.peers.Relay(peer, appendCall(a, timeout))
@@ -104,7 +106,7 @@
 	})
 }
 
-// Read returns records from an offset on.
+// Read returns the records from an offset on.
 func (s *Store) Read(p jayport.Partition, from int64, wait, timeout time.Duration) (jayport.Page, error) {
 	return try(s, true, func() (jayport.Page, error) {
 		return s.direct.Read(p, from, wait, timeout)
@@ -130,25 +132,26 @@
 	})
 }
 
-// outcome is what a call came to.
-type outcome[T any] struct {
+// callResult is the result of a call.
+type callResult[T any] struct {
 	got T
 	err error
 }
 
-// try makes a call. When the store comes back, a call is given up that was sent
-// well before, since its answer is lost, and one that waits for a peer: each
-// would keep its caller for seconds, and can now be made directly.
-func try[T any](s *Store, repeatable bool, direct func() (T, error), relayed func(peer string) (T, error)) (T, error) {
+// try executes a call. When the store becomes available again, it abandons a call
+// that was sent well before, since its response is presumed lost, and a call that
+// waits for a peer. Either could block its caller for seconds, while a new call can
+// now be made directly.
+func try[T any](s *Store, idempotent bool, direct func() (T, error), relayed func(peer string) (T, error)) (T, error) {
 	began := s.clock()
-	done := make(chan outcome[T], 1)
+	done := make(chan callResult[T], 1)
 	var atPeer atomic.Bool
 	go func() {
-		got, err := attempt(s, repeatable, direct, func(peer string) (T, error) {
+		got, err := attempt(s, idempotent, direct, func(peer string) (T, error) {
 			atPeer.Store(true)
 			return relayed(peer)
 		})
-		done <- outcome[T]{got, err}
+		done <- callResult[T]{got, err}
 	}()
 	for {
 		regained := s.awaitRegained()
@@ -156,42 +159,42 @@
 		case o := <-done:
 			return o.got, o.err
 		case <-regained:
-			if atPeer.Load() || s.hung(began) {
+			if atPeer.Load() || s.presumedLost(began) {
 				var none T
-				return none, errHung
+				return none, errAbandoned
 			}
 		}
 	}
 }
 
-// errHung is reported for a call that was given up.
-var errHung = fmt.Errorf("%w: sent before the store came back", jayport.ErrNoAnswer)
+// errAbandoned is returned for an abandoned call.
+var errAbandoned = fmt.Errorf("%w: call abandoned after the store outage ended", jayport.ErrNoAnswer)
 
-// attempt makes a call directly, unless direct calls keep failing, and then
-// through peers. Repeatable calls may be made again after an answer was lost. A
-// first answer that is missing is no reason to ask peers: the store may have
-// become slow, and would get the call three times.
-func attempt[T any](s *Store, repeatable bool, direct func() (T, error), relayed func(peer string) (T, error)) (T, error) {
+// attempt makes a call directly, unless direct calls keep failing, and then through
+// peers. Only idempotent calls are retried after a missing response. The first missing
+// response does not lead to a retry through peers: the store may just be slow, and
+// would receive the call up to three times.
+func attempt[T any](s *Store, idempotent bool, direct func() (T, error), relayed func(peer string) (T, error)) (T, error) {
 	var none T
 	var err error
 	if s.Direct() {
 		var got T
 		got, err = direct()
-		if s.noteDirect(err) {
+		if s.recordDirectResult(err) {
 			return got, err
 		}
-		if errors.Is(err, jayport.ErrNoAnswer) && (!repeatable || s.Direct()) {
+		if errors.Is(err, jayport.ErrNoAnswer) && (!idempotent || s.Direct()) {
 			return none, err
 		}
 	}
 	for _, peer := range s.relayPeers() {
 		got, relayedErr := relayed(peer)
 		if !pathFailed(relayedErr) {
-			s.noteRelayPeer(peer)
+			s.recordRelayPeer(peer)
 			return got, relayedErr
 		}
-		err = worse(err, relayedErr)
-		if errors.Is(relayedErr, jayport.ErrNoAnswer) && !repeatable {
+		err = lessCertain(err, relayedErr)
+		if errors.Is(relayedErr, jayport.ErrNoAnswer) && !idempotent {
 			return none, err
 		}
 	}
@@ -201,42 +204,44 @@
 	return none, err
 }
 
-// worse keeps the error that leaves more in doubt: a call that was rejected
-// on one path may have taken effect on the other.
-func worse(a, b error) error {
+// lessCertain returns the error of two that leaves the outcome less certain: a call
+// that was rejected on one path may have taken effect on the other.
+func lessCertain(a, b error) error {
 	if a == nil || errors.Is(b, jayport.ErrNoAnswer) {
 		return b
 	}
 	return a
 }
 
-// pathFailed reports whether an error says that the store was not reached or
-// did not serve, as opposed to a refusal of the call itself.
+// pathFailed reports whether an error means that the store was not reached or did not
+// serve the call, as opposed to an error of the call itself.
 func pathFailed(err error) bool {
 	return errors.Is(err, jayport.ErrNoAnswer) || errors.Is(err, jayport.ErrNotDone)
 }
 
-// noteDirect counts a direct call; it returns true if the store served it.
-func (s *Store) noteDirect(err error) bool {
+// recordDirectResult records the result of a direct call and returns true if the store
+// served it.
+func (s *Store) recordDirectResult(err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if pathFailed(err) {
 		s.failures++
-		if s.failures == distrustAfter {
+		if s.failures == failureThreshold {
 			s.lostAt = s.clock()
 			s.logger.Info("store lost", "error", err.Error())
-			s.askUntilBack()
+			s.probeUntilRegained()
 		}
 		return false
 	}
-	if s.failures >= distrustAfter {
+	if s.failures >= failureThreshold {
 		s.logger.Info("store regained", "lostFor", (s.clock() - s.lostAt).String())
 	}
 	s.failures = 0
 	return true
 }
 
-// relayPeers returns the peers to ask: the one that relayed the last call first.
+// relayPeers returns the peers to try in order: first the one that relayed the last
+// call, then others in rotation.
 func (s *Store) relayPeers() []string {
 	peers := s.peers.Incarnations()
 	s.mu.Lock()
@@ -247,49 +252,50 @@
 			chosen = append(chosen, p)
 		}
 	}
-	first := s.turn
+	first := s.nextPeer
 	for n := range peers {
 		p := peers[(first+n)%len(peers)]
-		if p != s.relayPeer && len(chosen) < peersPerCall {
+		if p != s.relayPeer && len(chosen) < maxPeersPerCall {
 			chosen = append(chosen, p)
-			s.turn = first + n + 1
+			s.nextPeer = first + n + 1
 		}
 	}
 	return chosen
 }
 
-// latencyRise and latencyFall divide the difference by which the running mean
-// follows the newest append: it rises fast, since a timeout that is too short
-// sends an append again and makes a slow store slower.
+// latencyRiseDivisor and latencyFallDivisor are the divisors of the difference between
+// the newest append's duration and the moving average, by which the average is adjusted
+// when it rises or falls. It rises faster, since a timeout that is too short causes
+// appends to be sent again, which makes a slow store slower.
 const (
-	latencyRise = 2
-	latencyFall = 8
+	latencyRiseDivisor = 2
+	latencyFallDivisor = 8
 )
 
-// noteLatency takes in how long an append took. One without an answer says nothing:
-// if the store is slow, its repeat is answered, and says it; if the store has lost the
-// answer, a longer timeout would keep the callers waiting for what does not come.
-func (s *Store) noteLatency(took time.Duration, err error) {
+// recordLatency updates the moving average with the duration of an append. Appends
+// without a response are ignored: if the store is slow, the retry measures its
+// latency; if the response was lost, a longer timeout would only delay the callers.
+func (s *Store) recordLatency(took time.Duration, err error) {
 	if errors.Is(err, jayport.ErrNoAnswer) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := time.Duration(latencyFall)
+	share := time.Duration(latencyFallDivisor)
 	if took > s.latency {
-		share = latencyRise
+		share = latencyRiseDivisor
 	}
 	s.latency += (took - s.latency) / share
 }
 
-// Latency returns how long an append takes at present.
+// Latency returns the store's current latency of appends, a moving average.
 func (s *Store) Latency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latency
 }
 
-func (s *Store) noteRelayPeer(peer string) {
+func (s *Store) recordRelayPeer(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.relayPeer != peer {
--- a/jayrelay/relay_test.go
+++ b/jayrelay/relay_test.go
@@ -16,8 +16,8 @@
 	"jaythread/jaywire"
 )
 
-// fakeStore answers calls with an error, or well. Questions whether it is back
-// come from the background and are not counted.
+// fakeStore responds to calls with err, or successfully if err is nil. Probes, which
+// are sent in the background, are not counted.
 type fakeStore struct {
 	jayport.Store
 	mu    sync.Mutex
@@ -51,7 +51,7 @@
 
 // Read counts the call.
 func (f *fakeStore) Read(p jayport.Partition, _ int64, _, _ time.Duration) (jayport.Page, error) {
-	if p == askedPartition {
+	if p == probePartition {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return jayport.Page{}, f.err
@@ -65,7 +65,7 @@
 	return jayport.Latest{End: 3, More: true, Records: []jayport.Record{{Key: "a", Value: []byte("x")}}}, f.call()
 }
 
-// fakePeers relay calls to stores of their own.
+// fakePeers relays calls to one fakeStore for each peer.
 type fakePeers map[string]*fakeStore
 
 func (f fakePeers) Incarnations() []string {
@@ -96,7 +96,7 @@
 	return jayport.Append{Producer: &jayport.Producer{Name: "n", Epoch: 1, Sequence: 1}, AsOf: jayport.AnyOffset}
 }
 
-func TestStore(t *testing.T) {
+func TestCallPaths(t *testing.T) {
 	t.Run("goes direct while the store serves", func(t *testing.T) {
 		is := is.New(t)
 		direct, peer := &fakeStore{}, &fakeStore{}
@@ -107,9 +107,9 @@
 		is.Equal(peer.counted(), 0)
 	})
 	t.Run("goes through a peer while it does not", func(t *testing.T) {
-		// Symptom: an owner shows an old view of its pool.
-		// Sequence: the store turns the owner's entry away, and serves others.
-		// Cause: the owner knew no other way to the store.
+		// The store rejects the calls of one entry and serves the others.
+		// Without a relay, a pool's owner on that entry would keep a stale view
+		// of the pool.
 		is := is.New(t)
 		direct, bad, good := &fakeStore{err: errAway}, &fakeStore{err: errSilent}, &fakeStore{}
 		s := newStore(direct, fakePeers{"p1": bad, "p2": good})
@@ -122,7 +122,8 @@
 		is.NoErr(err)
 		is.True(latest.More)
 		is.True(!s.Direct())
-		// It keeps to the peer that served, and asks whether the store is back.
+		// Later calls go to the peer that served the last one, while probes
+		// test whether the store is available again.
 		calls := direct.counted()
 		for range 5 {
 			_, err = s.Append(numbered(), time.Second)
@@ -131,7 +132,7 @@
 		is.Equal(direct.counted(), calls)
 		direct.set(nil)
 		for until := time.Now().Add(2 * time.Second); !s.Direct() && time.Now().Before(until); {
-			time.Sleep(askEvery / 10)
+			time.Sleep(probeInterval / 10)
 		}
 		is.True(s.Direct())
 		_, err = s.Append(numbered(), time.Second)
@@ -149,9 +150,9 @@
 		is.Equal(peer.counted(), 0)
 	})
 	t.Run("an append without a number is not sent twice", func(t *testing.T) {
-		// Symptom: a claim is made twice.
-		// Sequence: its answer is lost, and it is sent through a peer.
-		// Cause: only a numbered append is taken once.
+		// The store deduplicates only appends with a sequence number. If the
+		// response to another append is lost and it is sent again through a
+		// peer, a claim is made twice.
 		is := is.New(t)
 		peer := &fakeStore{}
 		s := newStore(&fakeStore{err: errSilent}, fakePeers{"p1": peer})
@@ -175,7 +176,7 @@
 		is.True(errors.Is(err, jayport.ErrNoAnswer))
 		peer := &fakeStore{err: errAway}
 		s = newStore(&fakeStore{err: errSilent}, fakePeers{"p1": peer})
-		for range distrustAfter {
+		for range failureThreshold {
 			_, err = s.Append(numbered(), time.Second)
 			is.True(errors.Is(err, jayport.ErrNoAnswer))
 		}
@@ -186,7 +187,7 @@
 	})
 }
 
-func TestErrorsCrossTheLink(t *testing.T) {
+func TestErrorEncoding(t *testing.T) {
 	for _, want := range []error{
 		jayport.ErrNoAnswer, jayport.ErrNotDone, jayport.ErrMalformed,
 		&jayport.StaleError{End: 1}, &jayport.FencedError{}, &jayport.SequenceError{Expected: 2}, &jayport.ExpiredError{First: 3},
@@ -198,14 +199,14 @@
 	is.New(t).NoErr(ErrorOf(&jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_GOOD}))
 }
 
-// hangingStore leaves calls without an answer until it is back, and those that
-// were sent before for ever.
-type hangingStore struct {
+// unresponsiveStore never responds to calls that are sent while it is away. They end
+// by a timeout, even if the store is available again before.
+type unresponsiveStore struct {
 	jayport.Store
 	away atomic.Bool
 }
 
-func (h *hangingStore) answer() error {
+func (h *unresponsiveStore) answer() error {
 	if h.away.Load() {
 		time.Sleep(10 * time.Second)
 		return errSilent
@@ -213,8 +214,8 @@
 	return nil
 }
 
-// Append answers unless the store is away.
-func (h *hangingStore) Append(_ jayport.Append, timeout time.Duration) (jayport.Appended, error) {
+// Append responds unless the store is away.
+func (h *unresponsiveStore) Append(_ jayport.Append, timeout time.Duration) (jayport.Appended, error) {
 	if h.away.Load() {
 		time.Sleep(timeout)
 		return jayport.Appended{}, errSilent
@@ -222,21 +223,19 @@
 	return jayport.Appended{First: 1}, nil
 }
 
-// Read answers unless the store is away.
-func (h *hangingStore) Read(jayport.Partition, int64, time.Duration, time.Duration) (jayport.Page, error) {
+// Read responds unless the store is away.
+func (h *unresponsiveStore) Read(jayport.Partition, int64, time.Duration, time.Duration) (jayport.Page, error) {
 	return jayport.Page{}, h.answer()
 }
 
-func TestCallsSentBeforeTheStoreCameBackAreGivenUp(t *testing.T) {
-	// Symptom: half a second and more after an outage of the store, jobs are
-	// still refused.
-	// Sequence: the store falls silent; appends and reads are sent and hang; the
-	// store is back; they hang on until their timeouts.
-	// Cause: nobody asked whether the store is back but those that hung.
+func TestCallsSentBeforeEndOfOutageAreAbandoned(t *testing.T) {
+	// During an outage of the store, appends and reads hang until their
+	// timeouts. Without probes nothing else detects the end of the outage, so
+	// jobs would be refused for half a second or more after it.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
-		direct := &hangingStore{}
+		direct := &unresponsiveStore{}
 		s := New(direct, fakePeers{}, func() time.Duration { return time.Since(began) }, logr.Discard())
 		direct.away.Store(true)
 		hung := make(chan time.Duration, 1)
@@ -245,7 +244,7 @@
 			is.True(err != nil)
 			hung <- time.Since(began)
 		}()
-		for range distrustAfter {
+		for range failureThreshold {
 			_, err := s.Append(numbered(), 100*time.Millisecond)
 			is.True(errors.Is(err, jayport.ErrNoAnswer))
 		}
@@ -253,10 +252,10 @@
 		time.Sleep(2 * time.Second)
 		direct.away.Store(false)
 		back := time.Since(began)
-		time.Sleep(2 * askEvery)
+		time.Sleep(2 * probeInterval)
 		is.True(s.Direct())
-		if read := <-hung; read > back+2*askEvery {
-			t.Errorf("a call hung on for %s", read-back)
+		if read := <-hung; read > back+2*probeInterval {
+			t.Errorf("a call returned %s after the end of the outage", read-back)
 		}
 		_, err := s.Append(numbered(), 100*time.Millisecond)
 		is.NoErr(err)
@@ -264,30 +263,29 @@
 	})
 }
 
-// hangingPeers never answer.
-type hangingPeers struct{}
+// unresponsivePeers never respond.
+type unresponsivePeers struct{}
 
-// Incarnations returns two peers.
-func (hangingPeers) Incarnations() []string { return []string{"p1", "p2"} }
+// Incarnations returns the IDs of two peers.
+func (unresponsivePeers) Incarnations() []string { return []string{"p1", "p2"} }
 
-// Relay waits for longer than anybody should.
-func (hangingPeers) Relay(string, *jaywire.StoreCall) (*jaywire.StoreResult, error) {
+// Relay blocks for longer than a caller may wait.
+func (unresponsivePeers) Relay(string, *jaywire.StoreCall) (*jaywire.StoreResult, error) {
 	time.Sleep(1500 * time.Millisecond)
 	return nil, errSilent
 }
 
-func TestCallsThatPeersCarryAreMadeAgainWhenTheStoreIsBack(t *testing.T) {
-	// Symptom: two seconds after a configuration was accepted an entry still
-	// answers by the one before.
-	// Sequence: the store turns the entry away; its read of the configuration
-	// goes to two peers that are gone; the store serves the entry again.
-	// Cause: the read waited for both peers, though it could have gone directly.
+func TestRelayedCallsAreAbandonedAfterOutage(t *testing.T) {
+	// The store rejects an entry's calls, and its read of the configuration goes
+	// to two peers that have ended. When the store serves the entry again, the
+	// read must not wait for both peers: the entry would use the old
+	// configuration for two seconds after a new one was accepted.
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		direct := &hangingStore{}
-		s := New(direct, hangingPeers{}, func() time.Duration { return time.Since(began) }, logr.Discard())
+		direct := &unresponsiveStore{}
+		s := New(direct, unresponsivePeers{}, func() time.Duration { return time.Since(began) }, logr.Discard())
 		direct.away.Store(true)
-		for range distrustAfter {
+		for range failureThreshold {
 			_, _ = s.Append(jayport.Append{AsOf: jayport.AnyOffset}, 100*time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -298,18 +296,17 @@
 		asked := time.Now()
 		_, err := s.Read(jayport.Partition{}, 0, 0, time.Second)
 		is.New(t).True(errors.Is(err, jayport.ErrNoAnswer))
-		if took := time.Since(asked); took > 100*time.Millisecond+2*askEvery {
+		if took := time.Since(asked); took > 100*time.Millisecond+2*probeInterval {
 			t.Errorf("the call took %s", took)
 		}
 		time.Sleep(20 * time.Second)
 	})
 }
 
-// Symptom: each append of a store that loses answers is waited for longer than the one
-// before, though it answers within 15 ms.
-// Sequence: an answer is lost; its call ends after 400 ms.
-// Cause: the time that was waited in vain was taken for the store's latency.
-func TestMissingAnswersSayNothingOfTheLatency(t *testing.T) {
+// An append whose response is lost ends with a timeout, for example after 400 ms. That
+// time must not count as the store's latency: with a store that responds within 15 ms
+// but loses responses, each append would wait longer than the one before.
+func TestTimeoutsDoNotCountAsLatency(t *testing.T) {
 	is := is.New(t)
 	now := time.Minute
 	direct := &fakeStore{}
