--- a/jaypeer/client.go
+++ b/jaypeer/client.go
@@ -1,6 +1,7 @@
-// Package jaypeer carries protobuf messages between entry instances: a yamux
-// session for each pair, a stream for each request. With keys configured the
-// link is mutual TLS.
+// Package jaypeer exchanges protobuf requests and responses between entry
+// instances. A client keeps one yamux session for each peer address and reuses
+// its streams, each for one request at a time. If keys are configured,
+// connections use mutual TLS.
 package jaypeer
 
 import (
@@ -21,22 +22,23 @@
 	"jaythread/jaywire"
 )
 
-// maxMessage bounds one message; a snapshot at the target size is below it.
-const maxMessage = 64 << 20
+// maxMessageBytes is the maximum size of one message in bytes. A snapshot at the
+// target fleet size is smaller.
+const maxMessageBytes = 64 << 20
 
-// Errors of peer links.
+// Errors of requests to peers.
 var (
-	// ErrUnreachable means that the peer did not answer; it may be alive.
+	// ErrUnreachable means that the peer did not respond. It may be alive.
 	ErrUnreachable = errors.New("peer does not answer")
-	// ErrGone means that the incarnation asked for has ended: its address
-	// refuses connections, or another incarnation answers there.
+	// ErrGone means that the requested incarnation has ended: its address
+	// refuses connections, or another incarnation responds there.
 	ErrGone = errors.New("peer has ended")
-	// ErrReplaced means that another incarnation answers at the peer's
-	// address. It is an ErrGone that leaves no doubt.
+	// ErrReplaced means that another incarnation responds at the peer's
+	// address. It wraps ErrGone and is conclusive: the incarnation has ended.
 	ErrReplaced = fmt.Errorf("%w: it was replaced", ErrGone)
 )
 
-// Client asks peers. It keeps a session to each address.
+// Client sends requests to peers. It keeps a session for each address.
 type Client struct {
 	self    string
 	timeout time.Duration
@@ -44,37 +46,38 @@
 
 	mu       sync.Mutex
 	sessions map[string]*yamux.Session
-	// idle holds streams whose last request was answered in full. One that
-	// failed or timed out is closed: its late answer would be taken for that
-	// of the next request.
+	// idle holds the streams whose last response was received in full. After a
+	// failure or timeout the stream is closed instead, since a late response
+	// would be taken for the response to the next request.
 	idle   map[*yamux.Session][]*stream
 	closed bool
 }
 
-// stream carries one request after another.
+// stream is a yamux stream that carries one request at a time.
 type stream struct {
 	*yamux.Stream
 	in *bufio.Reader
-	// used is when its last answer came.
+	// used is the time at which the last response was received.
 	used time.Time
 }
 
-// streamFresh is for how long a stream is used again. The server ends one that
-// has been idle for longer, and the next request on it would fail as if the
-// peer were not there.
-const streamFresh = streamIdle / 3
+// maxStreamIdle is the idle time up to which a stream is reused. It is below
+// streamIdleTimeout, after which the server closes a stream: a request on a closed
+// stream would fail as if the peer were unreachable.
+const maxStreamIdle = streamIdleTimeout / 3
 
-// maxIdleStreams bounds the streams kept for each peer.
+// maxIdleStreams limits the number of idle streams for each session.
 const maxIdleStreams = 4
 
-// NewClient returns a client for the entry named self. The TLS configuration
-// is nil on loopback without keys.
+// NewClient returns a client for the entry with the ID self. The timeout applies to
+// connecting and to each request. If config is nil, connections are not encrypted;
+// this is for loopback only.
 func NewClient(self string, timeout time.Duration, config *tls.Config) *Client {
 	return &Client{self: self, timeout: timeout, tls: config, sessions: map[string]*yamux.Session{}, idle: map[*yamux.Session][]*stream{}}
 }
 
-// Ask sends a request to the incarnation named to, at its address, and
-// returns the answer. The error is ErrGone or ErrUnreachable.
+// Ask sends a request to the incarnation with the ID to, at its address, and returns
+// the response. Its errors wrap ErrGone or ErrUnreachable.
 func (c *Client) Ask(to, addr string, request *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
 	request.From = c.self
 	request.To = to
@@ -86,12 +89,12 @@
 		return nil, fmt.Errorf("%w: %s at %s: %w", ErrUnreachable, to, addr, err)
 	}
 	if to != "" && response.From != to {
-		return nil, fmt.Errorf("%w: %s at %s, which is %s now", ErrReplaced, to, addr, response.From)
+		return nil, fmt.Errorf("%w: %s at %s, which is now %s", ErrReplaced, to, addr, response.From)
 	}
 	return response, nil
 }
 
-// Close ends all sessions.
+// Close closes all sessions.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,44 +109,44 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := c.takeStream(session)
+	s, err := c.acquireStream(session)
 	if err != nil {
-		c.drop(addr, session)
+		c.dropSession(addr, session)
 		return nil, err
 	}
 	response := &jaywire.PeerResponse{}
-	if err := s.talk(request, response, c.timeout); err != nil {
-		// A session whose peer froze would hold up each later request until
-		// its timeout; a new one finds out at once.
+	if err := s.roundTrip(request, response, c.timeout); err != nil {
+		// A session whose peer has hung would block each later request until
+		// its timeout, while connecting anew fails at once if the peer is gone.
 		_ = s.Close()
-		c.drop(addr, session)
+		c.dropSession(addr, session)
 		return nil, err
 	}
-	c.keepStream(session, s)
+	c.releaseStream(session, s)
 	return response, nil
 }
 
-func (s *stream) talk(request *jaywire.PeerRequest, response *jaywire.PeerResponse, timeout time.Duration) error {
+func (s *stream) roundTrip(request *jaywire.PeerRequest, response *jaywire.PeerResponse, timeout time.Duration) error {
 	if err := s.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	if _, err := protodelim.MarshalTo(s, request); err != nil {
 		return err
 	}
-	options := protodelim.UnmarshalOptions{MaxSize: maxMessage}
+	options := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	return options.UnmarshalFrom(s.in, response)
 }
 
-func (c *Client) takeStream(session *yamux.Session) (*stream, error) {
+func (c *Client) acquireStream(session *yamux.Session) (*stream, error) {
 	c.mu.Lock()
 	idle := c.idle[session]
-	if n := len(idle); n > 0 && time.Since(idle[n-1].used) < streamFresh {
+	if n := len(idle); n > 0 && time.Since(idle[n-1].used) < maxStreamIdle {
 		newest := idle[n-1]
 		c.idle[session] = idle[:n-1]
 		c.mu.Unlock()
 		return newest, nil
 	}
-	// The last one is the newest: if it is too old, all are.
+	// The last stream is the most recently used one: if it is too old, all are.
 	delete(c.idle, session)
 	c.mu.Unlock()
 	for _, old := range idle {
@@ -156,7 +159,7 @@
 	return &stream{Stream: opened, in: bufio.NewReader(opened)}, nil
 }
 
-func (c *Client) keepStream(session *yamux.Session, s *stream) {
+func (c *Client) releaseStream(session *yamux.Session, s *stream) {
 	s.used = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,12 +190,12 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	return c.keep(addr, s), nil
+	return c.storeSession(addr, s), nil
 }
 
-// keep stores a session, or returns the one that another goroutine has stored
-// in the meantime.
-func (c *Client) keep(addr string, s *yamux.Session) *yamux.Session {
+// storeSession stores a session, or closes it and returns the one that another goroutine
+// has stored in the meantime.
+func (c *Client) storeSession(addr string, s *yamux.Session) *yamux.Session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	other, ok := c.sessions[addr]
@@ -204,7 +207,7 @@
 	return s
 }
 
-func (c *Client) drop(addr string, s *yamux.Session) {
+func (c *Client) dropSession(addr string, s *yamux.Session) {
 	c.mu.Lock()
 	if c.sessions[addr] == s {
 		delete(c.sessions, addr)
@@ -228,7 +231,7 @@
 func sessionConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
-	// Heartbeats of our own show a dead peer sooner than keep-alives.
+	// The heartbeats between entries detect a failed peer sooner than keep-alives.
 	config.EnableKeepAlive = false
 	config.ConnectionWriteTimeout = time.Second
 	config.StreamOpenTimeout = 0
--- a/jaypeer/keys.go
+++ b/jaypeer/keys.go
@@ -9,12 +9,12 @@
 	"github.com/samber/oops"
 )
 
-// ErrAuthority is reported for an authority file without certificates.
+// ErrAuthority is returned for a certificate authority file without certificates.
 var ErrAuthority = errors.New("no certificate in the authority file")
 
-// LoadKeys returns the mutual TLS configuration of an entry: its own
-// certificate and key, and the authority that signs those of its peers. Empty
-// names return nil, which leaves the link plain.
+// LoadKeys returns the mutual TLS configuration of an entry: its own certificate and
+// key, and the certificate authority that signs the certificates of its peers. If
+// certFile is empty it returns nil, for connections without encryption.
 func LoadKeys(certFile, keyFile, authorityFile string) (*tls.Config, error) {
 	if certFile == "" {
 		return nil, nil
--- a/jaypeer/peer_test.go
+++ b/jaypeer/peer_test.go
@@ -24,7 +24,7 @@
 
 const testTimeout = 5 * time.Second
 
-// serve starts a server on loopback that answers heartbeats.
+// serve starts a server on loopback and returns its address.
 func serve(t *testing.T, self string, config *tls.Config, handler Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return listener.Addr().String()
 }
 
-func beat(request *jaywire.PeerRequest) *jaywire.PeerResponse {
+func ackHeartbeat(request *jaywire.PeerRequest) *jaywire.PeerResponse {
 	return &jaywire.PeerResponse{Body: &jaywire.PeerResponse_HeartbeatAck{
 		HeartbeatAck: &jaywire.HeartbeatAck{Offset: request.GetHeartbeat().GetOffset() + 1},
 	}}
@@ -56,12 +56,11 @@
 func TestAsk(t *testing.T) {
 	t.Run("is answered, many at once", func(t *testing.T) {
 		is := is.New(t)
-		addr := serve(t, "b", nil, beat)
+		addr := serve(t, "b", nil, ackHeartbeat)
 		c := newClient(t, nil)
-		// Symptom: a request gets the answer to another one.
-		// Sequence: two requests at once take the same idle stream.
-		// Cause: the stream was read from the list after its lock was given
-		// back.
+		// If an idle stream is taken from the list without the lock, two
+		// concurrent requests can take the same stream, and one receives the
+		// response to the other.
 		answers := make(chan bool, 50)
 		for n := range uint64(50) {
 			go func() {
@@ -86,14 +85,13 @@
 		is.True(errors.Is(err, ErrGone))
 	})
 	t.Run("another incarnation at the address means the same", func(t *testing.T) {
-		// Symptom: a replaced entry grants a payment that its predecessor
-		// knew to have run.
-		// Sequence: an entry is replaced at the same address; a peer asks the
-		// address for the old one.
-		// Cause: an address is not an incarnation.
+		// An entry is replaced at the same address, and a peer sends it a
+		// request that is meant for its predecessor. An address does not
+		// identify an incarnation: the new one could grant a payment that its
+		// predecessor knew to have run.
 		is := is.New(t)
 		asked := false
-		addr := serve(t, "b2", nil, func(r *jaywire.PeerRequest) *jaywire.PeerResponse { asked = true; return beat(r) })
+		addr := serve(t, "b2", nil, func(r *jaywire.PeerRequest) *jaywire.PeerResponse { asked = true; return ackHeartbeat(r) })
 		_, err := newClient(t, nil).Ask("b1", addr, heartbeat(1))
 		is.True(errors.Is(err, ErrGone))
 		is.True(!asked)
@@ -102,7 +100,7 @@
 		is := is.New(t)
 		release := make(chan struct{})
 		defer close(release)
-		addr := serve(t, "b", nil, func(r *jaywire.PeerRequest) *jaywire.PeerResponse { <-release; return beat(r) })
+		addr := serve(t, "b", nil, func(r *jaywire.PeerRequest) *jaywire.PeerResponse { <-release; return ackHeartbeat(r) })
 		c := NewClient("a", 20*time.Millisecond, nil)
 		defer c.Close()
 		_, err := c.Ask("b", addr, heartbeat(1))
@@ -110,7 +108,7 @@
 	})
 	t.Run("a link that broke is made anew", func(t *testing.T) {
 		is := is.New(t)
-		addr := serve(t, "b", nil, beat)
+		addr := serve(t, "b", nil, ackHeartbeat)
 		c := newClient(t, nil)
 		_, err := c.Ask("b", addr, heartbeat(1))
 		is.NoErr(err)
@@ -122,9 +120,9 @@
 	})
 }
 
-// keys writes an authority and a certificate that it signs, and returns their
-// TLS configuration.
-func keys(t *testing.T) *tls.Config {
+// newTLSConfig writes a new certificate authority and a certificate signed by it to files,
+// and returns the TLS configuration that LoadKeys reads from them.
+func newTLSConfig(t *testing.T) *tls.Config {
 	t.Helper()
 	dir := t.TempDir()
 	authorityKey, authority := certificate(t, nil, nil)
@@ -179,8 +177,8 @@
 }
 
 func TestMutualTLS(t *testing.T) {
-	ours, others := keys(t), keys(t)
-	addr := serve(t, "b", ours, beat)
+	ours, others := newTLSConfig(t), newTLSConfig(t)
+	addr := serve(t, "b", ours, ackHeartbeat)
 	t.Run("with our keys", func(t *testing.T) {
 		_, err := newClient(t, ours).Ask("b", addr, heartbeat(1))
 		is.New(t).NoErr(err)
@@ -201,7 +199,7 @@
 	})
 }
 
-// FuzzPeerMessage looks for messages that make a reader panic.
+// FuzzPeerMessage searches for messages that make decoding or a handler panic.
 func FuzzPeerMessage(f *testing.F) {
 	text, err := proto.Marshal(heartbeat(7))
 	if err != nil {
@@ -211,7 +209,7 @@
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		request := &jaywire.PeerRequest{}
 		if proto.Unmarshal(text, request) == nil {
-			beat(request)
+			ackHeartbeat(request)
 		}
 		_ = proto.Unmarshal(text, &jaywire.PeerResponse{})
 		_ = proto.Unmarshal(text, &jaywire.ClaimBatch{})
--- a/jaypeer/server.go
+++ b/jaypeer/server.go
@@ -13,10 +13,10 @@
 	"jaythread/jaywire"
 )
 
-// Handler answers one request of a peer.
+// Handler returns the response to a peer's request.
 type Handler func(*jaywire.PeerRequest) *jaywire.PeerResponse
 
-// Server answers the requests of peers.
+// Server accepts connections of peers and responds to their requests.
 type Server struct {
 	self    string
 	handler Handler
@@ -29,13 +29,14 @@
 	done     sync.WaitGroup
 }
 
-// NewServer returns a server for the entry named self.
+// NewServer returns a server for the entry with the ID self. The timeout applies to
+// the writing of each response.
 func NewServer(self string, timeout time.Duration, handler Handler) *Server {
 	return &Server{self: self, handler: handler, timeout: timeout, sessions: map[*yamux.Session]struct{}{}}
 }
 
-// Serve accepts peers until Close. The TLS configuration is nil on loopback
-// without keys.
+// Serve accepts connections until Close. If config is nil, connections are not
+// encrypted; this is for loopback only.
 func (s *Server) Serve(listener net.Listener, config *tls.Config) {
 	if config != nil {
 		listener = tls.NewListener(listener, config)
@@ -58,7 +59,8 @@
 	}
 }
 
-// Close ends the listener and all sessions, and waits for open requests.
+// Close closes the listener and all sessions, and waits until all requests are
+// processed.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -98,16 +100,16 @@
 	_ = session.Close()
 }
 
-// streamIdle ends a stream on which no request has come for so long.
-const streamIdle = time.Minute
+// streamIdleTimeout is the time without a request after which a stream is closed.
+const streamIdleTimeout = time.Minute
 
 func (s *Server) serveStream(stream *yamux.Stream) {
 	defer s.done.Done()
 	defer func() { _ = stream.Close() }()
 	in := bufio.NewReader(stream)
-	options := protodelim.UnmarshalOptions{MaxSize: maxMessage}
+	options := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	for {
-		_ = stream.SetReadDeadline(time.Now().Add(streamIdle))
+		_ = stream.SetReadDeadline(time.Now().Add(streamIdleTimeout))
 		request := &jaywire.PeerRequest{}
 		if err := options.UnmarshalFrom(in, request); err != nil {
 			return
@@ -120,8 +122,8 @@
 
 func (s *Server) answer(stream *yamux.Stream, request *jaywire.PeerRequest) bool {
 	response := &jaywire.PeerResponse{}
-	// A request for an incarnation that ran here before is not ours to
-	// answer: this one does not know what that one knew.
+	// A request to an earlier incarnation at this address gets an empty response:
+	// this incarnation does not have the state of that one.
 	if request.To == "" || request.To == s.self {
 		response = s.handler(request)
 	}
