--- a/jaytail/tail.go
+++ b/jaytail/tail.go
@@ -1,5 +1,5 @@
-// Package jaytail keeps up with a partition of the platform's store: the
-// newest record of each key first, then every later one.
+// Package jaytail follows a partition of the platform's store: it loads the
+// newest record of each key, then reads every later record.
 package jaytail
 
 import (
@@ -15,41 +15,48 @@
 )
 
 const (
-	// readTimeout bounds one read, on top of the time for which it asks to
-	// wait. A store that is slow answers within it.
+	// readTimeout is the timeout of one read, in addition to the time that the
+	// read asks the store to wait for records. A slow store responds within it.
 	readTimeout = 700 * time.Millisecond
-	// loadTimeout bounds a page of a load that has timed out before: one of a megabyte
-	// takes that long through a narrow link.
-	loadTimeout = 6 * time.Second
-	// neededPause is between two looks whether the records are needed.
-	neededPause = 20 * time.Millisecond
-	// pauseAfterError is between two reads that fail. Each call is paid for.
-	pauseAfterError = 200 * time.Millisecond
+	// maxLoadTimeout is the maximum timeout of one page of a load, which is reached by
+	// doubling after timeouts. A page of a megabyte takes that long over a link of
+	// low bandwidth.
+	maxLoadTimeout = 6 * time.Second
+	// neededPollInterval is the interval at which Options.Needed is polled while it returns
+	// false.
+	neededPollInterval = 20 * time.Millisecond
+	// errorRetryDelay is the delay before a failed read is repeated. It limits the
+	// number of calls, since each one is billed.
+	errorRetryDelay = 200 * time.Millisecond
 )
 
-// Options say how a partition is followed.
+// Options configure a Tail.
 type Options struct {
-	// Prefix limits the keys that are loaded and handed on.
+	// Prefix limits which keys are passed to the handler.
 	Prefix string
-	// Wait is for how long one read may wait for a record.
+	// Wait is the time for which one read asks the store to wait for a record.
 	Wait time.Duration
-	// Pause is between two reads that succeed, or a third of it while Hurry says
-	// that the records are wanted at once; a nil Hurry is never.
+	// Pause is the delay between successful reads. While Hurry returns true it is
+	// a third of that, for records that are needed with low latency. A nil Hurry
+	// counts as false.
 	Pause time.Duration
 	Hurry func() bool
-	// Needed tells whether anybody needs the records now; nil is always. While
-	// nobody does, nothing is read, since each read is paid for.
+	// Needed returns whether the records are needed at present. While it returns
+	// false nothing is read, since each read is billed. A nil Needed counts as
+	// true.
 	Needed func() bool
 }
 
-// Handler takes in the records. It is called by one goroutine.
+// Handler receives the records. It is called by one goroutine.
 type Handler interface {
-	// Reset is called before the newest records are handed on anew.
+	// Reset is called before all newest records are loaded, also when they are
+	// loaded again.
 	Reset()
-	// Apply takes a record; a nil value removes the key.
+	// Apply receives a record. A nil value means that the key was removed.
 	Apply(r jayport.Record)
-	// CaughtUp is called after each read, with the time at which it was sent:
-	// every record appended before that time has been applied.
+	// CaughtUp is called after each read that reached the end of the partition,
+	// with the time at which it was sent: every record appended before that time
+	// has been applied.
 	CaughtUp(asOf time.Duration)
 }
 
@@ -64,30 +71,35 @@
 
 	next   int64
 	loaded bool
-	// behind says that the last read has left records unread.
+	// behind is true if the last read did not reach the end of the partition.
 	behind bool
-	// loadAfter is the last key that a load has handed on which was broken off,
-	// loadAsked when its first page was asked for. pageTimeout bounds its next page.
+	// loadAfter is the last key that an unfinished load has passed to the handler,
+	// or empty. loadStarted is the clock's time at which the load requested its
+	// first page, and pageTimeout the timeout of its next page.
 	loadAfter   string
-	loadAsked   time.Duration
+	loadStarted time.Duration
 	pageTimeout time.Duration
-	// asOf is the clock's time of the last read that succeeded, or zero.
+	// asOf is the clock's time at which the last read or load that reached the end
+	// of the partition was sent, or zero.
 	asOf atomic.Int64
-	lost time.Duration
+	// lostSince is the clock's time of the first failed read since the last successful
+	// one, or zero.
+	lostSince time.Duration
 }
 
-// New returns a tail that is not started.
+// New returns a tail; Run starts it.
 func New(store jayport.Store, p jayport.Partition, options Options, handler Handler, clock jayclock.Clock, logger logr.Logger) *Tail {
 	return &Tail{store: store, partition: p, options: options, handler: handler, clock: clock, logger: logger, pageTimeout: readTimeout}
 }
 
-// AsOf returns the time up to which all records are known; zero is never.
+// AsOf returns the clock's time before which all records are known, or zero if none
+// are.
 func (t *Tail) AsOf() time.Duration {
 	return time.Duration(t.asOf.Load())
 }
 
-// Next returns the offset that the tail reads next. Only the goroutine that
-// runs the tail may call it.
+// Next returns the offset of the next read. Only the goroutine that runs the tail may
+// call it.
 func (t *Tail) Next() int64 {
 	return t.next
 }
@@ -96,48 +108,48 @@
 func (t *Tail) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if t.options.Needed != nil && !t.options.Needed() {
-			jayclock.Sleep(ctx, neededPause)
+			jayclock.Sleep(ctx, neededPollInterval)
 			continue
 		}
 		wait := t.options.Wait
-		if t.lost != 0 {
-			// What was missed is wanted at once, and so is the word that there
-			// is nothing.
+		if t.lostSince != 0 {
+			// After an outage the missed records, or the information that there
+			// are none, are needed at once.
 			wait = 0
 		}
 		if err := t.Step(wait); err != nil {
-			t.noteLost(err)
-			jayclock.Sleep(ctx, pauseAfterError)
+			t.markLost(err)
+			jayclock.Sleep(ctx, errorRetryDelay)
 			continue
 		}
-		t.noteRegained()
+		t.markRegained()
 		jayclock.Sleep(ctx, t.pause())
 	}
 }
 
-// hurryShare divides the pause between reads whose records are wanted at once.
-const hurryShare = 3
+// hurryDivisor is the divisor of Options.Pause while Options.Hurry returns true.
+const hurryDivisor = 3
 
-// pause is before the next read.
+// pause returns the delay before the next read.
 func (t *Tail) pause() time.Duration {
 	if t.behind {
 		return 0
 	}
 	if t.options.Hurry != nil && t.options.Hurry() {
-		return t.options.Pause / hurryShare
+		return t.options.Pause / hurryDivisor
 	}
 	return t.options.Pause
 }
 
-// Step loads the partition if it is not loaded yet, or reads once. The handler has caught
-// up when it has read all that there was.
+// Step loads the partition if it is not loaded yet, or reads once. It calls the
+// handler's CaughtUp if the end of the partition was reached.
 func (t *Tail) Step(wait time.Duration) error {
 	asked := t.clock()
 	if !t.loaded {
 		if err := t.load(); err != nil {
 			return err
 		}
-		asked = t.loadAsked
+		asked = t.loadStarted
 	} else if err := t.read(wait); err != nil {
 		return err
 	}
@@ -149,17 +161,17 @@
 	return nil
 }
 
-// load hands on the newest record of each key. Its pages are no snapshot; what
-// is appended meanwhile is read again afterwards.
+// load passes the newest record of each key to the handler. Its pages are not a
+// consistent snapshot; records that are appended during the load are read afterwards.
 //
-// What goes wrong: a page takes longer than its timeout, through a narrow link or from a
-// slow store, and the same page is asked for again and again, which fills the link
-// for whatever else goes through it. So each try may take twice as long as the one
-// before, and goes on where the load was broken off.
+// A page may take longer than its timeout, over a link of low bandwidth or from a slow
+// store. Requesting the same page again and again with the same timeout would saturate
+// the link for all other traffic. Therefore the timeout is doubled after each timeout,
+// and a load that failed is resumed after the last page received.
 func (t *Tail) load() error {
 	if t.loadAfter == "" {
 		t.handler.Reset()
-		t.loadAsked = t.clock()
+		t.loadStarted = t.clock()
 	}
 	for {
 		after := t.loadAfter
@@ -169,14 +181,14 @@
 		page, err := t.store.Latest(t.partition, after, t.pageTimeout)
 		if err != nil {
 			if errors.Is(err, jayport.ErrNoAnswer) {
-				t.pageTimeout = min(2*t.pageTimeout, loadTimeout)
+				t.pageTimeout = min(2*t.pageTimeout, maxLoadTimeout)
 			}
 			return err
 		}
 		if t.loadAfter == "" {
 			t.next = page.End
 		}
-		if t.takePage(page) {
+		if t.applyPage(page) {
 			break
 		}
 	}
@@ -184,8 +196,9 @@
 	return nil
 }
 
-// takePage hands on a page of a load and reports whether it is the last one.
-func (t *Tail) takePage(page jayport.Latest) (last bool) {
+// applyPage passes a page of a load to the handler and reports whether it is the last
+// one.
+func (t *Tail) applyPage(page jayport.Latest) (last bool) {
 	for _, r := range page.Records {
 		t.loadAfter = r.Key
 		if hasPrefix(r.Key, t.options.Prefix) {
@@ -201,7 +214,8 @@
 	page, err := t.store.Read(t.partition, t.next, wait, readTimeout)
 	var expired *jayport.ExpiredError
 	if errors.As(err, &expired) {
-		// The records in between are gone; the newest of each key is kept.
+		// The records in between have expired, but the store keeps the newest
+		// record of each key.
 		t.loaded, t.behind = false, false
 		return t.load()
 	}
@@ -218,17 +232,17 @@
 	return nil
 }
 
-func (t *Tail) noteLost(err error) {
-	if t.lost == 0 {
-		t.lost = t.clock()
+func (t *Tail) markLost(err error) {
+	if t.lostSince == 0 {
+		t.lostSince = t.clock()
 		t.logger.Info("partition lost", "partition", t.partition.String(), "asOf", t.AsOf().String(), "error", err.Error())
 	}
 }
 
-func (t *Tail) noteRegained() {
-	if t.lost != 0 {
-		t.logger.Info("partition regained", "partition", t.partition.String(), "lostFor", (t.clock() - t.lost).String())
-		t.lost = 0
+func (t *Tail) markRegained() {
+	if t.lostSince != 0 {
+		t.logger.Info("partition regained", "partition", t.partition.String(), "lostFor", (t.clock() - t.lostSince).String())
+		t.lostSince = 0
 	}
 }
 
--- a/jaytail/tail_test.go
+++ b/jaytail/tail_test.go
@@ -16,7 +16,7 @@
 	"jaythread/jayport"
 )
 
-// memoryStore keeps one partition.
+// memoryStore is a store of one partition in memory.
 type memoryStore struct {
 	jayport.Store
 	first   int64
@@ -24,17 +24,17 @@
 	newest  map[string]jayport.Record
 	perPage int
 	fail    error
-	// perRead bounds the records of a read; zero bounds nothing.
+	// perRead limits the number of records of a read; zero means no limit.
 	perRead int
-	// pageTakes is how long a page of a load takes; pages counts those that were asked
-	// for.
+	// pageTakes is the time that a page of a load takes, and pages the number of
+	// pages requested.
 	pageTakes time.Duration
 	pages     int
-	// during is called while pages of a load are read.
+	// during is called after each page of a load was read, before it is returned.
 	during func()
 }
 
-func newMemory() *memoryStore {
+func newMemoryStore() *memoryStore {
 	return &memoryStore{newest: map[string]jayport.Record{}, perPage: 2}
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// Read returns records from an offset on.
+// Read returns the records from an offset on.
 func (m *memoryStore) Read(_ jayport.Partition, from int64, _, _ time.Duration) (jayport.Page, error) {
 	if m.fail != nil {
 		return jayport.Page{}, m.fail
@@ -89,19 +89,19 @@
 	return page, nil
 }
 
-// seen keeps the newest value of each key that a tail handed on.
-type seen struct {
+// recordingHandler is a handler that keeps the newest value of each key.
+type recordingHandler struct {
 	values map[string]string
 	resets int
 	asOf   time.Duration
 }
 
-func (s *seen) Reset() {
+func (s *recordingHandler) Reset() {
 	s.resets++
 	s.values = map[string]string{}
 }
 
-func (s *seen) Apply(r jayport.Record) {
+func (s *recordingHandler) Apply(r jayport.Record) {
 	if r.Value == nil {
 		delete(s.values, r.Key)
 		return
@@ -109,17 +109,17 @@
 	s.values[r.Key] = string(r.Value)
 }
 
-func (s *seen) CaughtUp(asOf time.Duration) { s.asOf = asOf }
+func (s *recordingHandler) CaughtUp(asOf time.Duration) { s.asOf = asOf }
 
-func newTail(m *memoryStore, options Options) (*Tail, *seen) {
-	s := &seen{}
+func newTail(m *memoryStore, options Options) (*Tail, *recordingHandler) {
+	s := &recordingHandler{}
 	return New(m, jayport.Partition{Topic: "t"}, options, s, jayclock.Since(time.Now().Add(-time.Hour)), logr.Discard()), s
 }
 
 func TestTail(t *testing.T) {
 	t.Run("loads all pages, then follows", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		for n := range 5 {
 			m.put(fmt.Sprint("k", n), "old")
 		}
@@ -138,14 +138,14 @@
 	t.Run("reads more often while it is wanted at once", func(t *testing.T) {
 		is := is.New(t)
 		hurry := false
-		tail, _ := newTail(newMemory(), Options{Pause: 300 * time.Millisecond, Hurry: func() bool { return hurry }})
+		tail, _ := newTail(newMemoryStore(), Options{Pause: 300 * time.Millisecond, Hurry: func() bool { return hurry }})
 		is.Equal(tail.pause(), 300*time.Millisecond)
 		hurry = true
 		is.Equal(tail.pause(), 100*time.Millisecond)
 	})
 	t.Run("keeps to its prefix", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		for _, key := range []string{"a/1", "pool/1", "pool/2", "pool/3", "pool2/1", "q/1"} {
 			m.put(key, "x")
 		}
@@ -156,11 +156,11 @@
 		is.Equal(len(got.values), 3)
 	})
 	t.Run("what is appended during a load is not missed", func(t *testing.T) {
-		// Symptom: a job that was accepted is not known.
-		// Sequence: it is appended while an owner reads page after page.
-		// Cause: the tail went on from the end that the last page told.
+		// A job is accepted while the pool's owner loads the partition page by
+		// page. If the tail continued from the end offset of the last page
+		// instead of the first, it would miss the job.
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		for n := range 4 {
 			m.put(fmt.Sprint("k", n), "x")
 		}
@@ -168,7 +168,7 @@
 		m.during = func() {
 			if once {
 				once = false
-				m.put("a", "late") // sorts before what was read already
+				m.put("a", "late") // sorts before the keys that were read already
 			}
 		}
 		tail, got := newTail(m, Options{})
@@ -178,7 +178,7 @@
 	})
 	t.Run("starts anew when records have expired", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		m.put("k", "1")
 		tail, got := newTail(m, Options{})
 		is.NoErr(tail.Step(0))
@@ -191,13 +191,13 @@
 		is.Equal(got.values["k"], "2")
 	})
 	t.Run("a page that takes long is waited for", func(t *testing.T) {
-		// Symptom: after the loss of all entries a pool has no owner for half a minute,
-		// and entries do not reach one another.
-		// Sequence: the owner reads the pool's jobs through a narrow link; a page takes
-		// four seconds and is given up after 0.7; it is asked for again.
-		// Cause: the timeout was fixed.
+		// After the loss of all entries an owner loads its pool's jobs over a link
+		// of low bandwidth, on which a page takes four seconds. With a fixed
+		// timeout of 0.7 s the page was requested again and again: the pool had no
+		// owner for half a minute, and the saturated link kept entries from
+		// reaching one another.
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		for n := range 5 {
 			m.put(fmt.Sprint("k", n), "x")
 		}
@@ -208,13 +208,13 @@
 			tries++
 		}
 		is.Equal(len(got.values), 5)
-		is.Equal(tries, 3) // 0.7, 1.4, 2.8 s
+		is.Equal(tries, 3) // timeouts of 0.7, 1.4 and 2.8 s
 		is.Equal(m.pages, tries+3)
-		is.Equal(tail.pageTimeout, readTimeout) // the next load begins as the first
+		is.Equal(tail.pageTimeout, readTimeout) // the next load starts with the initial timeout
 	})
 	t.Run("a timeout has a bound", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		m.fail = jayport.ErrNoAnswer
 		tail, _ := newTail(m, Options{})
 		for range 10 {
@@ -224,7 +224,7 @@
 	})
 	t.Run("a load goes on where it was broken off", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		for n := range 6 {
 			m.put(fmt.Sprint("k", n), "x")
 		}
@@ -233,19 +233,19 @@
 			m.fail = jayport.ErrNotDone // after the first page
 		}
 		is.True(tail.Step(0) != nil)
-		asOf := tail.loadAsked
-		m.put("a", "late") // sorts before what was read already
+		asOf := tail.loadStarted
+		m.put("a", "late") // sorts before the keys that were read already
 		m.fail, m.during = nil, nil
 		is.NoErr(tail.Step(0))
-		is.Equal(m.pages, 4) // one failed
+		is.Equal(m.pages, 4) // one request failed
 		is.Equal(len(got.values), 6)
-		is.Equal(tail.AsOf(), asOf) // the late record is not known yet
+		is.Equal(tail.AsOf(), asOf) // the late record has not been read yet
 		is.NoErr(tail.Step(0))
 		is.Equal(got.values["a"], "late")
 	})
 	t.Run("has not caught up while records are left", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		tail, got := newTail(m, Options{Pause: time.Minute})
 		is.NoErr(tail.Step(0))
 		before := tail.AsOf()
@@ -262,7 +262,8 @@
 		is.True(tail.AsOf() > before)
 		is.Equal(tail.pause(), time.Minute)
 	})
-	// reads counts the reads of a tail that runs for just under two seconds.
+	// reads returns the number of pages requested by a tail that runs for just under
+	// two seconds.
 	reads := func(t *testing.T, m *memoryStore, options Options) int {
 		synctest.Test(t, func(t *testing.T) {
 			tail, _ := newTail(m, options)
@@ -273,7 +274,7 @@
 		return m.pages
 	}
 	t.Run("pauses for 0.2 s after a read that failed", func(t *testing.T) {
-		m := newMemory()
+		m := newMemoryStore()
 		m.fail = jayport.ErrNotDone
 		is.New(t).Equal(reads(t, m, Options{}), 10)
 	})
@@ -281,12 +282,12 @@
 		looks := 0
 		needed := func() bool { looks++; return false }
 		is := is.New(t)
-		is.Equal(reads(t, newMemory(), Options{Needed: needed}), 0)
+		is.Equal(reads(t, newMemoryStore(), Options{Needed: needed}), 0)
 		is.Equal(looks, 100)
 	})
 	t.Run("knows nothing newer while reads fail", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
+		m := newMemoryStore()
 		tail, _ := newTail(m, Options{})
 		is.NoErr(tail.Step(0))
 		before := tail.AsOf()
