--- a/jaylog/committer.go
+++ b/jaylog/committer.go
@@ -1,5 +1,5 @@
-// Package jaylog appends to the streams of the log service in groups and
-// follows them.
+// Package jaylog appends items to the streams of the log service in batches, and
+// follows the streams.
 package jaylog
 
 import (
@@ -15,29 +15,31 @@
 )
 
 const (
-	// maxGroup bounds the items of one append.
-	maxGroup = 256
-	// retryPause is waited after a failed append before the next one.
-	retryPause = 100 * time.Millisecond
-	// maxPending bounds what waits for an append during an outage.
+	// maxBatchItems limits the number of items of one append.
+	maxBatchItems = 256
+	// retryDelay is the delay after a failed append or read before the next one.
+	retryDelay = 100 * time.Millisecond
+	// maxPending limits the number of items that wait for an append, for example
+	// during an outage of the log service.
 	maxPending = 16_384
 )
 
-// Errors of a committer.
+// Errors of Committer.
 var (
-	// ErrFull means that too much waits already; the item was not appended.
-	ErrFull = errors.New("too much waits for the log service")
-	// ErrTimeout means that the item was not seen in the log in time; it may
-	// still come to stand there.
-	ErrTimeout = errors.New("not seen in the log in time")
+	// ErrFull means that too many items are waiting. The item is not appended.
+	ErrFull = errors.New("too many items are waiting for the log service")
+	// ErrTimeout means that the item was not read back from the log in time. It
+	// may still be appended by an append that was sent before.
+	ErrTimeout = errors.New("timed out waiting to read the item back from the log")
 )
 
-// Encoder writes a group of items as one record.
+// Encoder encodes a batch of items as one record.
 type Encoder[T any] func(items []T) ([]byte, error)
 
-// Committer appends items of one stream in groups and tells each submitter
-// when the item was read back. An item whose append got no answer is appended
-// again only after the stream was read to its end without it.
+// Committer appends items to one stream in batches and notifies each submitter
+// when its item was read back. Items of a failed append are in doubt, since the
+// append may have taken effect. They are appended again only after the stream was
+// read to its end without them.
 type Committer[T, R any] struct {
 	log     jayplatform.Log
 	stream  string
@@ -45,52 +47,54 @@
 	logger  logr.Logger
 	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	pending []entry[T]
-	flying  map[string]entry[T]
-	doubt   map[string]entry[T]
-	// doubtSince is when the newest failed append ended.
-	doubtSince time.Time
-	waiters    map[string]chan R
-	wake       chan struct{}
-	appends    uint64
+	mu       sync.Mutex
+	pending  []entry[T]
+	inFlight map[string]entry[T]
+	inDoubt  map[string]entry[T]
+	// lastFailure is the time at which the newest failed append ended.
+	lastFailure time.Time
+	waiters     map[string]chan R
+	wake        chan struct{}
+	appends     uint64
 }
 
+// entry is an item with its ID.
 type entry[T any] struct {
 	id   string
 	item T
 }
 
-// NewCommitter returns a committer that makes at most perSecond appends a
-// second.
+// NewCommitter returns a committer that makes at most perSecond appends per second on
+// average. Run starts it.
 func NewCommitter[T, R any](log jayplatform.Log, stream string, perSecond float64, encode Encoder[T], logger logr.Logger) *Committer[T, R] {
 	return &Committer[T, R]{
-		log:     log,
-		stream:  stream,
-		encode:  encode,
-		logger:  logger,
-		limiter: rate.NewLimiter(rate.Limit(perSecond), 4),
-		flying:  map[string]entry[T]{},
-		doubt:   map[string]entry[T]{},
-		waiters: map[string]chan R{},
-		wake:    make(chan struct{}, 1),
+		log:      log,
+		stream:   stream,
+		encode:   encode,
+		logger:   logger,
+		limiter:  rate.NewLimiter(rate.Limit(perSecond), 4),
+		inFlight: map[string]entry[T]{},
+		inDoubt:  map[string]entry[T]{},
+		waiters:  map[string]chan R{},
+		wake:     make(chan struct{}, 1),
 	}
 }
 
-// Submit submits an item. It is appended even if nobody waits for it.
+// Submit queues an item, which is appended without a notification of the result. It
+// returns ErrFull if too many items are waiting.
 func (c *Committer[T, R]) Submit(id string, item T) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.pending)+len(c.doubt) >= maxPending {
+	if len(c.pending)+len(c.inDoubt) >= maxPending {
 		return ErrFull
 	}
 	c.pending = append(c.pending, entry[T]{id: id, item: item})
-	c.signal()
+	c.wakeUp()
 	return nil
 }
 
-// Commit submits an item and waits until it was read back. After ErrTimeout
-// the item is not tried again, but may stand in the log.
+// Commit submits an item and waits until it was read back. After ErrTimeout the item
+// is not appended again, but it may be in the log.
 func (c *Committer[T, R]) Commit(id string, item T, timeout time.Duration) (R, error) {
 	var none R
 	seen := make(chan R, 1)
@@ -117,44 +121,45 @@
 	}
 }
 
-// Observe tells the submitter of an item what became of it. The follower of
-// the stream calls it for each item that it reads.
+// Observe notifies the submitter of an item of its result. The reader of the stream
+// calls it for each item that it reads.
 func (c *Committer[T, R]) Observe(id string, result R) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.doubt, id)
-	delete(c.flying, id)
+	delete(c.inDoubt, id)
+	delete(c.inFlight, id)
 	if seen, ok := c.waiters[id]; ok {
 		delete(c.waiters, id)
 		seen <- result
 	}
 }
 
-// CaughtUp tells that a read that began at the given time has reached the end
-// of the stream. Items in doubt that it did not hold are appended again.
+// CaughtUp is called by the reader of the stream after a read that began at the given
+// time has reached the end of the stream. Items in doubt that were not read until then
+// are queued again if the read began after the newest failed append ended.
 func (c *Committer[T, R]) CaughtUp(readBegan time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.doubt) == 0 || !readBegan.After(c.doubtSince) {
+	if len(c.inDoubt) == 0 || !readBegan.After(c.lastFailure) {
 		return
 	}
-	for id, e := range c.doubt {
+	for id, e := range c.inDoubt {
 		c.pending = append(c.pending, e)
-		delete(c.doubt, id)
+		delete(c.inDoubt, id)
 	}
-	c.signal()
+	c.wakeUp()
 }
 
-// Forget drops an item that was not appended yet, or whose append is under way
-// and may fail, and its waiter.
+// Forget cancels an item and removes its waiter. An item that is queued or in doubt is
+// not appended any more; one whose append is in flight is not retried.
 func (c *Committer[T, R]) Forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiters, id)
-	delete(c.doubt, id)
-	// An append under way cannot be called back, but if it fails the item
-	// must not be appended again: its proposer has gone on without it.
-	delete(c.flying, id)
+	delete(c.inDoubt, id)
+	// An append in flight cannot be cancelled, but if it fails the item must not
+	// be appended again, since its submitter has already given it up.
+	delete(c.inFlight, id)
 	for n, e := range c.pending {
 		if e.id == id {
 			c.pending = append(c.pending[:n], c.pending[n+1:]...)
@@ -163,28 +168,28 @@
 	}
 }
 
-// Appends returns how many appends were made.
+// Appends returns the number of appends made.
 func (c *Committer[T, R]) Appends() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.appends
 }
 
-// Pending returns how many items wait or are in doubt.
+// Pending returns the number of items that are queued, in flight or in doubt.
 func (c *Committer[T, R]) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.pending) + len(c.doubt) + len(c.flying)
+	return len(c.pending) + len(c.inDoubt) + len(c.inFlight)
 }
 
-// SetRate changes how many appends a second are made.
+// SetRate sets the maximum number of appends per second.
 func (c *Committer[T, R]) SetRate(perSecond float64) {
 	if c.limiter.Limit() != rate.Limit(perSecond) {
 		c.limiter.SetLimit(rate.Limit(perSecond))
 	}
 }
 
-// Run appends until the context ends.
+// Run appends queued items until the context ends.
 func (c *Committer[T, R]) Run(ctx context.Context) {
 	for {
 		select {
@@ -192,78 +197,80 @@
 			return
 		case <-c.wake:
 		}
-		for c.appendGroup(ctx) {
+		for c.appendBatch(ctx) {
 		}
 	}
 }
 
-// appendGroup makes one append; it returns false when nothing is left.
-func (c *Committer[T, R]) appendGroup(ctx context.Context) bool {
+// appendBatch makes one append, and returns false if there was nothing to append or the
+// context has ended.
+func (c *Committer[T, R]) appendBatch(ctx context.Context) bool {
 	if c.Pending() == 0 || c.limiter.Wait(ctx) != nil {
 		return false
 	}
-	group := c.take()
-	if len(group) == 0 {
+	batch := c.nextBatch()
+	if len(batch) == 0 {
 		return false
 	}
-	record, err := c.encode(items(group))
+	record, err := c.encode(items(batch))
 	if err == nil {
 		_, err = c.log.Append(c.stream, record)
 	}
-	c.settle(group, err)
+	c.finishBatch(batch, err)
 	if err == nil {
 		return true
 	}
-	c.logger.V(1).Info("append failed", "stream", c.stream, "items", len(group), "error", err.Error())
+	c.logger.V(1).Info("append failed", "stream", c.stream, "items", len(batch), "error", err.Error())
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(retryPause):
+	case <-time.After(retryDelay):
 		return true
 	}
 }
 
-func items[T any](group []entry[T]) []T {
-	list := make([]T, len(group))
-	for n, e := range group {
+func items[T any](batch []entry[T]) []T {
+	list := make([]T, len(batch))
+	for n, e := range batch {
 		list[n] = e.item
 	}
 	return list
 }
 
-func (c *Committer[T, R]) take() []entry[T] {
+// nextBatch dequeues the items of the next append and marks them as in flight.
+func (c *Committer[T, R]) nextBatch() []entry[T] {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := min(len(c.pending), maxGroup)
-	group := append([]entry[T](nil), c.pending[:n]...)
+	n := min(len(c.pending), maxBatchItems)
+	batch := append([]entry[T](nil), c.pending[:n]...)
 	c.pending = append(c.pending[:0], c.pending[n:]...)
-	for _, e := range group {
-		c.flying[e.id] = e
+	for _, e := range batch {
+		c.inFlight[e.id] = e
 	}
-	return group
+	return batch
 }
 
-// settle sorts a group after its append. Without an answer the record may
-// stand in the log, so its items are in doubt: appending them at once could
-// double them, and dropping them could lose them.
-func (c *Committer[T, R]) settle(group []entry[T], err error) {
+// finishBatch records the result of a batch's append. After a failure the record may be in
+// the log all the same, so its items are in doubt: appending them again at once could
+// duplicate them, and dropping them could lose them.
+func (c *Committer[T, R]) finishBatch(batch []entry[T], err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.appends++
-	for _, e := range group {
-		_, open := c.flying[e.id]
-		delete(c.flying, e.id)
+	for _, e := range batch {
+		_, open := c.inFlight[e.id]
+		delete(c.inFlight, e.id)
 		if err == nil || !open {
 			continue
 		}
-		c.doubt[e.id] = e
+		c.inDoubt[e.id] = e
 	}
 	if err != nil {
-		c.doubtSince = time.Now()
+		c.lastFailure = time.Now()
 	}
 }
 
-func (c *Committer[T, R]) signal() {
+func (c *Committer[T, R]) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
--- a/jaylog/committer_test.go
+++ b/jaylog/committer_test.go
@@ -16,7 +16,7 @@
 	"jaythread/jaystandin"
 )
 
-// failingLog refuses appends without effect while it is told to.
+// failingLog rejects appends, without effect, while failing is true.
 type failingLog struct {
 	*jaystandin.LogService
 	mu      sync.Mutex
@@ -39,21 +39,22 @@
 	f.failing = failing
 }
 
-// lines is a stream of words; it observes each word that it reads.
-type lines struct {
+// wordReader is a Reader of records with words separated by spaces. It reports each word to
+// the committer.
+type wordReader struct {
 	mu        sync.Mutex
 	from      uint64
 	words     []string
 	committer *Committer[string, int]
 }
 
-func (l *lines) From() uint64 {
+func (l *wordReader) From() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.from
 }
 
-func (l *lines) Take(page jayplatform.Page, began time.Time, caughtUp bool) {
+func (l *wordReader) Take(page jayplatform.Page, began time.Time, caughtUp bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range page.Records {
@@ -68,26 +69,27 @@
 	}
 }
 
-func (l *lines) Expired(first uint64) {
+func (l *wordReader) Expired(first uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.from = first
 }
 
-func (l *lines) text() string {
+func (l *wordReader) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Join(l.words, " ")
 }
 
-// inStream runs a test with a committer and a follower on a fake clock.
-func inStream(t *testing.T, test func(t *testing.T, log *failingLog, c *Committer[string, int], l *lines)) {
+// withStream runs a test with a committer and a follower of one stream, on the fake clock
+// of synctest.
+func withStream(t *testing.T, test func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		log := &failingLog{LogService: jaystandin.NewLogService()}
 		join := func(words []string) ([]byte, error) { return []byte(strings.Join(words, " ")), nil }
 		c := NewCommitter[string, int](log, "words", 100, join, logr.Discard())
-		l := &lines{committer: c}
+		l := &wordReader{committer: c}
 		ctx, cancel := context.WithCancel(context.Background())
 		go c.Run(ctx)
 		go NewFollower(log, "words", l, logr.Discard()).Run(ctx)
@@ -99,10 +101,9 @@
 
 func TestCommitter(t *testing.T) {
 	t.Run("a lost answer is not appended twice", func(t *testing.T) {
-		// Symptom: a record stands in the log twice.
-		// Sequence: the append takes effect and its answer is lost.
-		// Cause: the append was repeated without reading back first.
-		inStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *lines) {
+		// An append takes effect and its response is lost. If it were repeated
+		// without reading the stream first, the item would be in the log twice.
+		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader) {
 			is := is.New(t)
 			log.SetFaults(jaystandin.LogFaults{LoseAnswers: 1})
 			_, err := c.Commit("a", "a", time.Second)
@@ -112,7 +113,7 @@
 		})
 	})
 	t.Run("an append without effect is made again", func(t *testing.T) {
-		inStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *lines) {
+		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader) {
 			is := is.New(t)
 			log.set(true)
 			is.NoErr(c.Submit("a", "a"))
@@ -123,7 +124,7 @@
 		})
 	})
 	t.Run("items that wait together share an append", func(t *testing.T) {
-		inStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *lines) {
+		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader) {
 			is := is.New(t)
 			log.SetFaults(jaystandin.LogFaults{Delay: 10 * time.Millisecond})
 			for n := range 26 {
@@ -136,11 +137,10 @@
 		})
 	})
 	t.Run("an item that was given up is not appended later", func(t *testing.T) {
-		// Symptom: an operator's change that was reported as failed takes
-		// effect an hour later.
-		// Sequence: the log is down; the operator gives up; the log is back.
-		// Cause: items that nobody waits for any more stay queued.
-		inStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *lines) {
+		// During an outage of the log service an operator's change fails with a
+		// timeout. If the item stayed queued, the change would take effect after
+		// the outage, maybe an hour later.
+		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader) {
 			is := is.New(t)
 			log.set(true)
 			_, err := c.Commit("a", "a", time.Second)
@@ -151,11 +151,10 @@
 		})
 	})
 	t.Run("nor one that was given up while its append was under way", func(t *testing.T) {
-		// Symptom: plans of before an outage are carried out after it.
-		// Sequence: an append hangs; its proposer gives up; the append fails;
-		// the log is back.
-		// Cause: only items that waited were dropped.
-		inStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *lines) {
+		// An append hangs, its submitter times out, and then the append fails.
+		// If cancelling removed only queued items, this one would be appended
+		// after the outage, and an outdated plan would be carried out.
+		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader) {
 			is := is.New(t)
 			log.SetFaults(jaystandin.LogFaults{Delay: 2 * time.Second, Down: true})
 			_, err := c.Commit("a", "a", time.Second)
@@ -167,7 +166,7 @@
 		})
 	})
 	t.Run("too many waiting items are refused", func(t *testing.T) {
-		inStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], _ *lines) {
+		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], _ *wordReader) {
 			is := is.New(t)
 			log.set(true)
 			var err error
--- a/jaylog/follower.go
+++ b/jaylog/follower.go
@@ -11,42 +11,45 @@
 	"jaythread/jayplatform"
 )
 
-// readWait is how long one read waits for a record.
+// readWait is the time for which one read waits for a record.
 const readWait = time.Second
 
-// Reader takes what a follower reads. All calls come from one goroutine.
+// Reader receives the records that a follower reads. It is called by one goroutine.
 type Reader interface {
-	// From is the offset to read next.
+	// From returns the offset of the next record to read.
 	From() uint64
-	// Take folds a page; caughtUp says that it reaches the stream's end.
+	// Take processes a page of records; caughtUp is true if the page reaches the
+	// end of the stream. readBegan is the time at which the read began.
 	Take(page jayplatform.Page, readBegan time.Time, caughtUp bool)
-	// Expired tells that the offset to read next is no longer kept; first is
-	// the oldest one that is.
+	// Expired is called when the record at the offset From has expired; first is
+	// the oldest offset that the log service retains.
 	Expired(first uint64)
 }
 
-// Follower reads one stream as it grows.
+// Follower reads a stream continuously.
 type Follower struct {
 	log    jayplatform.Log
 	stream string
 	reader Reader
 	logger logr.Logger
-	// lastRead is the time of the last successful read in Unix nanoseconds.
+	// lastRead is the time at which the last successful read began, in Unix
+	// nanoseconds, or zero.
 	lastRead atomic.Int64
 }
 
-// NewFollower returns a follower of a stream.
+// NewFollower returns a follower of a stream. Run starts it.
 func NewFollower(log jayplatform.Log, stream string, reader Reader, logger logr.Logger) *Follower {
 	return &Follower{log: log, stream: stream, reader: reader, logger: logger}
 }
 
-// Age returns how long ago the stream was last read; a follower that never
-// read it returns a very long time.
+// Age returns the time since the last successful read began. Before the first one it
+// returns the time since the Unix epoch.
 func (f *Follower) Age() time.Duration {
 	return time.Since(time.Unix(0, f.lastRead.Load()))
 }
 
-// Run reads until the context ends.
+// Run reads the stream until the context ends. Of consecutive failures only the first
+// is logged.
 func (f *Follower) Run(ctx context.Context) {
 	failing := false
 	for ctx.Err() == nil {
@@ -56,12 +59,12 @@
 			continue
 		}
 		if !failing {
-			f.logger.Info("cannot read", "stream", f.stream, "error", err.Error())
+			f.logger.Info("read of stream failed", "stream", f.stream, "error", err.Error())
 		}
 		failing = true
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
@@ -75,8 +78,8 @@
 	if err != nil {
 		return err
 	}
-	// The read's beginning counts, not its end: an answer that was held up on
-	// its way says nothing about the stream now.
+	// The age is measured from the beginning of the read, since a response that
+	// was delayed does not reflect the current state of the stream.
 	f.lastRead.Store(began.UnixNano())
 	end := f.reader.From()
 	if n := len(page.Records); n > 0 {
