--- a/jaystate/fold_test.go
+++ b/jaystate/fold_test.go
@@ -268,7 +268,7 @@
 		is.NoErr(err)
 		is.True(bytes.Equal(digest(t, s), digest(t, loaded)))
 	})
-	t.Run("a damaged one is refused", func(t *testing.T) {
+	t.Run("corrupt snapshot is rejected", func(t *testing.T) {
 		is := is.New(t)
 		snapshot, err := newState(t).Snapshot()
 		is.NoErr(err)
@@ -276,7 +276,7 @@
 		_, err = Load(snapshot)
 		is.True(errors.Is(err, ErrSnapshotDigest))
 	})
-	t.Run("one of another format is refused", func(t *testing.T) {
+	t.Run("unsupported format is rejected", func(t *testing.T) {
 		is := is.New(t)
 		snapshot, err := newState(t).Snapshot()
 		is.NoErr(err)
