--- a/jayjournal/journal_test.go
+++ b/jayjournal/journal_test.go
@@ -116,18 +116,18 @@
 		want    error
 		keys    []string
 	}{
-		{"good", nil, nil, nil, []string{"a"}},
+		{"append succeeds", nil, nil, nil, []string{"a"}},
 		// A missing response must not be treated as a failed append: the job
 		// would be accepted twice, or never.
-		{"answer lost, append done", []answer{lostAfterAppend}, nil, nil, []string{"a"}},
-		{"answer lost, append not done", []answer{lostBeforeAppend, lostAfterAppend, lostBeforeAppend}, nil, nil, []string{"a"}},
-		{"rejected, sent again", []answer{rejected, rejected}, nil, nil, []string{"a"}},
-		{"rejected, refused", []answer{rejected}, []Option{WithRefusals()}, jayport.ErrNotDone, nil},
+		{"response lost, append applied", []answer{lostAfterAppend}, nil, nil, []string{"a"}},
+		{"response lost, append not applied", []answer{lostBeforeAppend, lostAfterAppend, lostBeforeAppend}, nil, nil, []string{"a"}},
+		{"rejected, retried", []answer{rejected, rejected}, nil, nil, []string{"a"}},
+		{"rejected, reported as failed", []answer{rejected}, []Option{WithRefusals()}, jayport.ErrNotDone, nil},
 		// The response to an append is lost and the retry is rejected. The
 		// rejection says nothing about the first attempt: a job that was
 		// reported as refused could run.
-		{"lost, then rejected", []answer{lostAfterAppend, rejected}, []Option{WithRefusals()}, nil, []string{"a"}},
-		{"lost, then rejected until it is given up, and after", append([]answer{lostAfterAppend}, slices.Repeat([]answer{rejected}, 12)...), []Option{WithRefusals()}, nil, []string{"a"}},
+		{"response lost, retry rejected", []answer{lostAfterAppend, rejected}, []Option{WithRefusals()}, nil, []string{"a"}},
+		{"response lost, retries rejected beyond the timeout of the first attempt", append([]answer{lostAfterAppend}, slices.Repeat([]answer{rejected}, 12)...), []Option{WithRefusals()}, nil, []string{"a"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
