--- a/jayrelay/relay_test.go
+++ b/jayrelay/relay_test.go
@@ -97,7 +97,7 @@
 }
 
 func TestCallPaths(t *testing.T) {
-	t.Run("goes direct while the store serves", func(t *testing.T) {
+	t.Run("calls go directly while the store serves them", func(t *testing.T) {
 		is := is.New(t)
 		direct, peer := &fakeStore{}, &fakeStore{}
 		s := newStore(direct, fakePeers{"p1": peer})
@@ -106,7 +106,7 @@
 		is.Equal(got.First, int64(7))
 		is.Equal(peer.counted(), 0)
 	})
-	t.Run("goes through a peer while it does not", func(t *testing.T) {
+	t.Run("calls go through a peer during an outage", func(t *testing.T) {
 		// The store rejects the calls of one entry and serves the others.
 		// Without a relay, a pool's owner on that entry would keep a stale view
 		// of the pool.
@@ -139,7 +139,7 @@
 		is.NoErr(err)
 		is.Equal(direct.counted(), calls+1)
 	})
-	t.Run("refusals of the call itself are final", func(t *testing.T) {
+	t.Run("errors of the call itself are not retried", func(t *testing.T) {
 		is := is.New(t)
 		peer := &fakeStore{}
 		s := newStore(&fakeStore{err: &jayport.StaleError{End: 5}}, fakePeers{"p1": peer})
@@ -149,7 +149,7 @@
 		is.Equal(stale.End, int64(5))
 		is.Equal(peer.counted(), 0)
 	})
-	t.Run("an append without a number is not sent twice", func(t *testing.T) {
+	t.Run("append without sequence number is not retried", func(t *testing.T) {
 		// The store deduplicates only appends with a sequence number. If the
 		// response to another append is lost and it is sent again through a
 		// peer, a claim is made twice.
@@ -160,7 +160,7 @@
 		is.True(errors.Is(err, jayport.ErrNoAnswer))
 		is.Equal(peer.counted(), 0)
 	})
-	t.Run("an append without a number is not sent through a second peer", func(t *testing.T) {
+	t.Run("append without sequence number is not retried through a second peer", func(t *testing.T) {
 		is := is.New(t)
 		silent, other := &fakeStore{err: errSilent}, &fakeStore{}
 		s := newStore(&fakeStore{err: errAway}, fakePeers{"p1": silent, "p2": other})
@@ -169,7 +169,7 @@
 		is.Equal(silent.counted(), 1)
 		is.Equal(other.counted(), 0)
 	})
-	t.Run("a lost answer on one path outweighs a refusal on the other", func(t *testing.T) {
+	t.Run("missing response on one path outweighs rejection on the other", func(t *testing.T) {
 		is := is.New(t)
 		s := newStore(&fakeStore{err: errSilent}, fakePeers{"p1": {err: errAway}})
 		_, err := s.Append(numbered(), time.Second)
