--- a/jaypeer/peer_test.go
+++ b/jaypeer/peer_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestAsk(t *testing.T) {
-	t.Run("is answered, many at once", func(t *testing.T) {
+	t.Run("concurrent requests get their own responses", func(t *testing.T) {
 		is := is.New(t)
 		addr := serve(t, "b", nil, ackHeartbeat)
 		c := newClient(t, nil)
@@ -76,7 +76,7 @@
 			is.True(<-answers)
 		}
 	})
-	t.Run("a closed port means that the peer has ended", func(t *testing.T) {
+	t.Run("closed port returns ErrGone", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		is := is.New(t)
 		is.NoErr(err)
@@ -84,7 +84,7 @@
 		_, err = newClient(t, nil).Ask("b", listener.Addr().String(), heartbeat(1))
 		is.True(errors.Is(err, ErrGone))
 	})
-	t.Run("another incarnation at the address means the same", func(t *testing.T) {
+	t.Run("another incarnation at the address returns ErrGone", func(t *testing.T) {
 		// An entry is replaced at the same address, and a peer sends it a
 		// request that is meant for its predecessor. An address does not
 		// identify an incarnation: the new one could grant a payment that its
@@ -96,7 +96,7 @@
 		is.True(errors.Is(err, ErrGone))
 		is.True(!asked)
 	})
-	t.Run("a peer that does not answer may be alive", func(t *testing.T) {
+	t.Run("timeout returns ErrUnreachable", func(t *testing.T) {
 		is := is.New(t)
 		release := make(chan struct{})
 		defer close(release)
@@ -106,7 +106,7 @@
 		_, err := c.Ask("b", addr, heartbeat(1))
 		is.True(errors.Is(err, ErrUnreachable))
 	})
-	t.Run("a link that broke is made anew", func(t *testing.T) {
+	t.Run("closed session is replaced", func(t *testing.T) {
 		is := is.New(t)
 		addr := serve(t, "b", nil, ackHeartbeat)
 		c := newClient(t, nil)
@@ -179,21 +179,21 @@
 func TestMutualTLS(t *testing.T) {
 	ours, others := newTLSConfig(t), newTLSConfig(t)
 	addr := serve(t, "b", ours, ackHeartbeat)
-	t.Run("with our keys", func(t *testing.T) {
+	t.Run("certificate of the same authority", func(t *testing.T) {
 		_, err := newClient(t, ours).Ask("b", addr, heartbeat(1))
 		is.New(t).NoErr(err)
 	})
-	t.Run("with another authority's", func(t *testing.T) {
+	t.Run("certificate of another authority", func(t *testing.T) {
 		_, err := newClient(t, others).Ask("b", addr, heartbeat(1))
 		is.New(t).True(err != nil)
 	})
-	t.Run("without keys", func(t *testing.T) {
+	t.Run("no certificate", func(t *testing.T) {
 		c := NewClient("a", 200*time.Millisecond, nil)
 		defer c.Close()
 		_, err := c.Ask("b", addr, heartbeat(1))
 		is.New(t).True(err != nil)
 	})
-	t.Run("unreadable files are named", func(t *testing.T) {
+	t.Run("missing files are an error", func(t *testing.T) {
 		_, err := LoadKeys("nowhere", "nowhere", "nowhere")
 		is.New(t).True(err != nil)
 	})
