--- a/jaytail/tail_test.go
+++ b/jaytail/tail_test.go
@@ -135,7 +135,7 @@
 		is.True(got.asOf > 0)
 		is.Equal(tail.AsOf(), got.asOf)
 	})
-	t.Run("reads more often while it is wanted at once", func(t *testing.T) {
+	t.Run("pause is a third while Hurry returns true", func(t *testing.T) {
 		is := is.New(t)
 		hurry := false
 		tail, _ := newTail(newMemoryStore(), Options{Pause: 300 * time.Millisecond, Hurry: func() bool { return hurry }})
@@ -143,7 +143,7 @@
 		hurry = true
 		is.Equal(tail.pause(), 100*time.Millisecond)
 	})
-	t.Run("keeps to its prefix", func(t *testing.T) {
+	t.Run("applies only keys with the prefix", func(t *testing.T) {
 		is := is.New(t)
 		m := newMemoryStore()
 		for _, key := range []string{"a/1", "pool/1", "pool/2", "pool/3", "pool2/1", "q/1"} {
@@ -155,7 +155,7 @@
 		is.NoErr(tail.Step(0))
 		is.Equal(len(got.values), 3)
 	})
-	t.Run("what is appended during a load is not missed", func(t *testing.T) {
+	t.Run("applies records appended during a load", func(t *testing.T) {
 		// A job is accepted while the pool's owner loads the partition page by
 		// page. If the tail continued from the end offset of the last page
 		// instead of the first, it would miss the job.
@@ -176,7 +176,7 @@
 		is.NoErr(tail.Step(0))
 		is.Equal(got.values["a"], "late")
 	})
-	t.Run("starts anew when records have expired", func(t *testing.T) {
+	t.Run("loads again after records have expired", func(t *testing.T) {
 		is := is.New(t)
 		m := newMemoryStore()
 		m.put("k", "1")
@@ -190,7 +190,7 @@
 		is.Equal(got.resets, 2)
 		is.Equal(got.values["k"], "2")
 	})
-	t.Run("a page that takes long is waited for", func(t *testing.T) {
+	t.Run("doubles the timeout of a slow page", func(t *testing.T) {
 		// After the loss of all entries an owner loads its pool's jobs over a link
 		// of low bandwidth, on which a page takes four seconds. With a fixed
 		// timeout of 0.7 s the page was requested again and again: the pool had no
@@ -212,7 +212,7 @@
 		is.Equal(m.pages, tries+3)
 		is.Equal(tail.pageTimeout, readTimeout) // the next load starts with the initial timeout
 	})
-	t.Run("a timeout has a bound", func(t *testing.T) {
+	t.Run("timeout of a page is limited", func(t *testing.T) {
 		is := is.New(t)
 		m := newMemoryStore()
 		m.fail = jayport.ErrNoAnswer
@@ -222,7 +222,7 @@
 		}
 		is.Equal(tail.pageTimeout, 6*time.Second)
 	})
-	t.Run("a load goes on where it was broken off", func(t *testing.T) {
+	t.Run("resumes a failed load", func(t *testing.T) {
 		is := is.New(t)
 		m := newMemoryStore()
 		for n := range 6 {
@@ -243,7 +243,7 @@
 		is.NoErr(tail.Step(0))
 		is.Equal(got.values["a"], "late")
 	})
-	t.Run("has not caught up while records are left", func(t *testing.T) {
+	t.Run("reports CaughtUp only at the end of the partition", func(t *testing.T) {
 		is := is.New(t)
 		m := newMemoryStore()
 		tail, got := newTail(m, Options{Pause: time.Minute})
@@ -273,19 +273,19 @@
 		})
 		return m.pages
 	}
-	t.Run("pauses for 0.2 s after a read that failed", func(t *testing.T) {
+	t.Run("pauses for 0.2 s after a failed read", func(t *testing.T) {
 		m := newMemoryStore()
 		m.fail = jayport.ErrNotDone
 		is.New(t).Equal(reads(t, m, Options{}), 10)
 	})
-	t.Run("looks every 20 ms whether records are needed", func(t *testing.T) {
+	t.Run("polls Needed every 20 ms", func(t *testing.T) {
 		looks := 0
 		needed := func() bool { looks++; return false }
 		is := is.New(t)
 		is.Equal(reads(t, newMemoryStore(), Options{Needed: needed}), 0)
 		is.Equal(looks, 100)
 	})
-	t.Run("knows nothing newer while reads fail", func(t *testing.T) {
+	t.Run("AsOf does not advance while reads fail", func(t *testing.T) {
 		is := is.New(t)
 		m := newMemoryStore()
 		tail, _ := newTail(m, Options{})
