--- a/jaylog/committer_test.go
+++ b/jaylog/committer_test.go
@@ -100,7 +100,7 @@
 }
 
 func TestCommitter(t *testing.T) {
-	t.Run("a lost answer is not appended twice", func(t *testing.T) {
+	t.Run("item is not appended twice after a lost response", func(t *testing.T) {
 		// An append takes effect and its response is lost. If it were repeated
 		// without reading the stream first, the item would be in the log twice.
 		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader) {
@@ -112,7 +112,7 @@
 			is.Equal(l.text(), "a")
 		})
 	})
-	t.Run("an append without effect is made again", func(t *testing.T) {
+	t.Run("item is appended again after a rejected append", func(t *testing.T) {
 		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader) {
 			is := is.New(t)
 			log.set(true)
@@ -123,7 +123,7 @@
 			is.Equal(l.text(), "a")
 		})
 	})
-	t.Run("items that wait together share an append", func(t *testing.T) {
+	t.Run("queued items are appended in one batch", func(t *testing.T) {
 		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], l *wordReader) {
 			is := is.New(t)
 			log.SetFaults(jaystandin.LogFaults{Delay: 10 * time.Millisecond})
@@ -136,7 +136,7 @@
 			is.True(log.Appends("words") <= 2)
 		})
 	})
-	t.Run("an item that was given up is not appended later", func(t *testing.T) {
+	t.Run("queued item is not appended after a timeout", func(t *testing.T) {
 		// During an outage of the log service an operator's change fails with a
 		// timeout. If the item stayed queued, the change would take effect after
 		// the outage, maybe an hour later.
@@ -150,7 +150,7 @@
 			is.Equal(l.text(), "")
 		})
 	})
-	t.Run("nor one that was given up while its append was under way", func(t *testing.T) {
+	t.Run("item in flight is not appended again after a timeout", func(t *testing.T) {
 		// An append hangs, its submitter times out, and then the append fails.
 		// If cancelling removed only queued items, this one would be appended
 		// after the outage, and an outdated plan would be carried out.
@@ -165,7 +165,7 @@
 			is.Equal(l.text(), "")
 		})
 	})
-	t.Run("too many waiting items are refused", func(t *testing.T) {
+	t.Run("items beyond the limit are rejected", func(t *testing.T) {
 		withStream(t, func(t *testing.T, log *failingLog, c *Committer[string, int], _ *wordReader) {
 			is := is.New(t)
 			log.set(true)
