--- a/jayreplay/crash_test.go
+++ b/jayreplay/crash_test.go
@@ -10,19 +10,19 @@
 	"jaythread/jayspec"
 )
 
-// mostStarts is how often a task may be started that crashes its workers: after it has
-// crashed three, fewer than three times more.
-const mostStarts = 5
+// maxStarts is the largest number of starts allowed for a task that crashes its workers:
+// at most two more after it has crashed three workers.
+const maxStarts = 5
 
-// crashing adds so many jobs to the rush of the first queue, one task of each of which
-// crashes the worker that starts it.
-func crashing(jobs int, after time.Duration) func(*Turns, *Load) {
+// withCrashingJobs adds jobs to the load peak of the first queue. One task of each job
+// crashes every worker that starts it.
+func withCrashingJobs(jobs int, after time.Duration) func(*Turns, *Load) {
 	return func(t *Turns, l *Load) {
 		l.RebootTime = 2500 * time.Millisecond
 		shape := t.Shapes[0]
 		for n := range jobs {
 			a := Arrival{
-				At:      lead + 3*time.Second + time.Duration(n)*50*time.Millisecond,
+				At:      warmUp + 3*time.Second + time.Duration(n)*50*time.Millisecond,
 				Crashes: []Crash{{Index: n % 2, After: after}},
 				Job: &jayspec.Job{
 					ID: fmt.Sprint("crash", n), Queue: shape.Queue, Pool: shape.Pool, Text: "text", Policy: shape.Policy,
@@ -35,8 +35,8 @@
 	}
 }
 
-// account logs what the play came to.
-func account(t *testing.T, r Result) {
+// logResult logs a summary of the result.
+func logResult(t *testing.T, r Result) {
 	t.Helper()
 	most, given, wrongly := 0, time.Duration(0), 0
 	for _, j := range r.Sound().Jobs {
@@ -48,52 +48,52 @@
 		most = max(most, j.Starts)
 		given = max(given, j.Failed-j.Submitted)
 	}
-	t.Logf("workers crashed %d, most starts of a task %d, longest until given up %v; wrongly given up %d of %d", r.Crashes, most, given, wrongly, len(r.Sound().Jobs))
+	t.Logf("workers crashed %d, most starts of a task %d, longest time until given up %v; jobs wrongly given up %d of %d", r.Crashes, most, given, wrongly, len(r.Sound().Jobs))
 	for _, queue := range []string{"a", "b", "c", "d"} {
 		sound := r.Sound().Of(queue)
 		t.Logf("queue %s: in time %.3f, served %.3f", queue, sound.InTime(), sound.Served())
 	}
 }
 
-// Guards against a crash loop: a task that crashes each worker that starts it is started
-// without end, and takes its pool down with it.
-func TestTasksThatCrashTheirWorkersAreGivenUp(t *testing.T) {
+// Guards against a crash loop: a task that crashes every worker that starts it is started
+// again and again, until its pool has no workers left.
+func TestCrashingTasksAreGivenUp(t *testing.T) {
 	for _, jobs := range []int{1, 5, 20} {
 		t.Run(fmt.Sprint(jobs, " such jobs in a rush"), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourRushes(1, crashing(jobs, 8*time.Millisecond)))
-			account(t, r)
+			r := Play(fourPeaks(1, withCrashingJobs(jobs, 8*time.Millisecond)))
+			logResult(t, r)
 			is.Equal(len(r.Crashing().Jobs), jobs)
 			for _, j := range r.Crashing().Jobs {
-				is.True(j.Starts <= mostStarts)
+				is.True(j.Starts <= maxStarts)
 				is.True(j.Failed > 0)
 			}
-			is.True(r.Crashes <= mostStarts*jobs)
+			is.True(r.Crashes <= maxStarts*jobs)
 			for _, j := range r.Sound().Jobs {
-				is.Equal(j.Failed, time.Duration(0)) // bystanders are not given up
+				is.Equal(j.Failed, time.Duration(0)) // jobs that crash no worker are not given up
 			}
 			is.True(r.Sound().Of("a").Served() >= 0.9)
 			for _, queue := range []string{"b", "c", "d"} {
-				is.Equal(r.Of(queue).Served(), 1.0) // the other queues do not notice
+				is.Equal(r.Of(queue).Served(), 1.0) // the other queues are not affected
 			}
 		})
 	}
 }
 
-// Guards against giving up jobs for workers that are lost by themselves, one after the
-// other, while their pool is in a rush.
-func TestJobsOnWorkersThatAreLostByThemselvesAreNotGivenUp(t *testing.T) {
+// Guards against giving up jobs whose workers are lost for reasons unrelated to the jobs:
+// workers fail one after the other during a load peak of their pool.
+func TestJobsAreNotGivenUpForUnrelatedWorkerLosses(t *testing.T) {
 	for _, pause := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(fmt.Sprint("every ", pause), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourRushes(1, func(_ *Turns, l *Load) {
+			r := Play(fourPeaks(1, func(_ *Turns, l *Load) {
 				for at := time.Duration(0); at < 12*time.Second; at += pause {
-					l.Outages = append(l.Outages, Outage{At: lead + at, For: 500 * time.Millisecond, First: len(l.Outages) * 2, Each: 5})
+					l.Outages = append(l.Outages, Outage{At: warmUp + at, For: 500 * time.Millisecond, First: len(l.Outages) * 2, Each: 5})
 				}
 			}))
-			account(t, r)
+			logResult(t, r)
 			for _, j := range r.Jobs {
 				is.Equal(j.Failed, time.Duration(0))
 			}
--- a/jayreplay/doc.go
+++ b/jayreplay/doc.go
@@ -1,5 +1,6 @@
-// Package jayreplay plays a load through the decisions of jaysched and jayfleet, in
-// simulated time and without any process: jobs come, workers run them, hosts move
-// from pool to pool. It tells how many jobs were done in time and for how many
-// instance seconds. The same load gives the same result.
+// Package jayreplay is a discrete-event simulation of the schedulers in jaysched and
+// jayfleet. It runs in simulated time and within one process: jobs arrive, workers run
+// their tasks, and hosts move between pools. The result says how many jobs met their
+// objective and how many instance-seconds that took. The same load always gives the
+// same result.
 package jayreplay
--- a/jayreplay/generate.go
+++ b/jayreplay/generate.go
@@ -12,63 +12,77 @@
 	"jaythread/jayspec"
 )
 
-// Shape is how the jobs of a queue are.
+// Shape describes the random distribution of the jobs of a queue.
 type Shape struct {
 	Queue string
 	Pool  string
-	// Rate is how many jobs come a second, on average.
+	// Rate is the mean number of jobs that arrive per second.
 	Rate float64
-	// Steps and Width are how many steps a job has, and a step tasks, on average.
+	// Steps is the mean number of steps of a job.
 	Steps float64
+	// Width is the mean number of tasks of a step.
 	Width float64
-	// Need is what a task asks for, Takes how long it runs, on average.
-	Need  jaypool.Resources
+	// Need is the mean of the resources that a task requests.
+	Need jaypool.Resources
+	// Takes is the mean run time of a task.
 	Takes time.Duration
-	// EstimateOff is by how much the declared estimates are off, as the standard
-	// deviation of their logarithm.
+	// EstimateOff is the error of the declared estimates, as the standard deviation of
+	// the logarithm of estimate over actual run time.
 	EstimateOff float64
-	Checkpoint  bool
-	Policy      jayspec.Policy
+	// Checkpoint says that the tasks write checkpoints.
+	Checkpoint bool
+	Policy     jayspec.Policy
 }
 
-// Turns is the load of queues that have their rushes one after another.
+// Turns describes a load of several queues whose peaks follow one another.
 type Turns struct {
 	Shapes []Shape
-	// Width is how long a rush has more than half of its height, Between the share of
-	// the mean rate that comes outside.
-	Width   time.Duration
+	// Width is the full width of a peak at half of its height.
+	Width time.Duration
+	// Between is the constant part of the arrival rate outside the peak, as a share of
+	// the mean rate.
 	Between float64
-	// Phase says in which turn each queue has its rush; left out, in its own.
+	// Phase gives the position of a queue's peak in the sequence of peaks. A queue that
+	// is missing has its peak at its position in Shapes.
 	Phase map[string]int
-	// Begin is when the first jobs come, For how long they come.
+	// Begin is when jobs begin to arrive.
 	Begin time.Duration
-	For   time.Duration
-	Seed  uint64
+	// For is how long jobs arrive.
+	For time.Duration
+	// Seed is the seed of the random numbers.
+	Seed uint64
 }
 
 const (
-	// needSpread, takesSpread and sizeSpread are the standard deviations of the
-	// logarithms of what tasks need and take, and of the numbers of steps and tasks.
-	needSpread  = 0.45
-	takesSpread = 0.5
-	sizeSpread  = 0.5
-	// unevenSpread is how much the tasks of one step differ.
-	unevenSpread = 0.2
-	// longestChain bounds the steps of a job, widestStep the tasks of a step.
-	longestChain = 4
-	widestStep   = 32
-	// largestShare is the largest share of an instance that a task needs.
-	largestShare = 0.45
+	// needSpread is the standard deviation of the logarithm of the resources that tasks
+	// request.
+	needSpread = 0.45
+	// durationSpread is the standard deviation of the logarithm of the mean run time of the
+	// tasks of a step.
+	durationSpread = 0.5
+	// sizeSpread is the standard deviation of the logarithm of the numbers of steps and
+	// tasks.
+	sizeSpread = 0.5
+	// taskSpread is the standard deviation of the logarithm of the run times of tasks
+	// of the same step.
+	taskSpread = 0.2
+	// maxSteps is the largest number of steps of a job.
+	maxSteps = 4
+	// maxTasksPerStep is the largest number of tasks of a step.
+	maxTasksPerStep = 32
+	// maxTaskShare is the largest share of an instance's capacity that a task requests.
+	maxTaskShare = 0.45
 )
 
-// Arrivals returns the jobs of the load.
+// Arrivals returns the jobs of all queues for instances of the given capacity, ordered by
+// time.
 func (t Turns) Arrivals(size jaypool.Resources) []Arrival {
 	var arrivals []Arrival
 	for turn, shape := range t.Shapes {
 		if phase, set := t.Phase[shape.Queue]; set {
 			turn = phase
 		}
-		arrivals = append(arrivals, t.arrivalsOf(shape, turn, size)...)
+		arrivals = append(arrivals, t.queueArrivals(shape, turn, size)...)
 	}
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Job.ID, b.Job.ID))
@@ -76,11 +90,13 @@
 	return arrivals
 }
 
-func (t Turns) arrivalsOf(shape Shape, turn int, size jaypool.Resources) []Arrival {
+// queueArrivals returns the jobs of one queue, whose load peak has the given position in the
+// sequence of peaks. Arrivals are a Poisson process with a varying rate.
+func (t Turns) queueArrivals(shape Shape, turn int, size jaypool.Resources) []Arrival {
 	random := rand.New(rand.NewPCG(t.Seed, uint64(turn)))
 	each := t.For / time.Duration(len(t.Shapes))
 	center := time.Duration(turn)*each + each/2
-	most := shape.Rate * (t.Between + t.height())
+	most := shape.Rate * (t.Between + t.peakFactor())
 	var arrivals []Arrival
 	for at := time.Duration(0); ; {
 		at += seconds(random.ExpFloat64() / most)
@@ -88,7 +104,7 @@
 			break
 		}
 		widths := (at - center).Seconds() / t.Width.Seconds()
-		rate := shape.Rate * (t.Between + t.height()*math.Exp(-4*math.Ln2*widths*widths))
+		rate := shape.Rate * (t.Between + t.peakFactor()*math.Exp(-4*math.Ln2*widths*widths))
 		if random.Float64()*most < rate {
 			id := fmt.Sprintf("%s%04d", shape.Queue, len(arrivals))
 			arrivals = append(arrivals, shape.job(id, t.Begin+at, size, random))
@@ -97,30 +113,31 @@
 	return arrivals
 }
 
-// height is how many times the mean rate a rush is at its top.
-func (t Turns) height() float64 {
+// peakFactor returns the rate at the top of a peak, as a multiple of the mean rate and
+// without the constant part.
+func (t Turns) peakFactor() float64 {
 	return (1 - t.Between) * t.For.Seconds() / t.Width.Seconds() * math.Sqrt(4*math.Ln2/math.Pi)
 }
 
-// job draws a job of the shape.
+// job returns a random job of the shape.
 func (s Shape) job(id string, at time.Duration, size jaypool.Resources, random *rand.Rand) Arrival {
 	a := Arrival{At: at, Job: &jayspec.Job{ID: id, Queue: s.Queue, Pool: s.Pool, Text: "text", Policy: s.Policy}}
-	steps := min(longestChain, max(1, int(math.Round(drawn(random, s.Steps, sizeSpread)))))
+	steps := min(maxSteps, max(1, int(math.Round(logNormal(random, s.Steps, sizeSpread)))))
 	need := jaypool.Resources{
-		ProcessorsMilli: min(int64(drawn(random, float64(s.Need.ProcessorsMilli), needSpread)), int64(largestShare*float64(size.ProcessorsMilli))),
-		MemoryMegabytes: min(int64(drawn(random, float64(s.Need.MemoryMegabytes), needSpread)), int64(largestShare*float64(size.MemoryMegabytes))),
+		ProcessorsMilli: min(int64(logNormal(random, float64(s.Need.ProcessorsMilli), needSpread)), int64(maxTaskShare*float64(size.ProcessorsMilli))),
+		MemoryMegabytes: min(int64(logNormal(random, float64(s.Need.MemoryMegabytes), needSpread)), int64(maxTaskShare*float64(size.MemoryMegabytes))),
 	}
-	off := drawn(random, 1, s.EstimateOff)
+	off := logNormal(random, 1, s.EstimateOff)
 	for step := range steps {
-		decl := jayspec.Step{Tasks: min(widestStep, max(1, int(math.Round(drawn(random, s.Width, sizeSpread))))), Need: need, Checkpoint: s.Checkpoint}
+		decl := jayspec.Step{Tasks: min(maxTasksPerStep, max(1, int(math.Round(logNormal(random, s.Width, sizeSpread))))), Need: need, Checkpoint: s.Checkpoint}
 		if step > 0 {
 			decl.After = []int{step - 1}
 		}
-		mean := drawn(random, s.Takes.Seconds(), takesSpread)
+		mean := logNormal(random, s.Takes.Seconds(), durationSpread)
 		decl.Estimate = seconds(mean * off)
 		var takes []time.Duration
 		for range decl.Tasks {
-			takes = append(takes, seconds(drawn(random, mean, unevenSpread)))
+			takes = append(takes, seconds(logNormal(random, mean, taskSpread)))
 		}
 		a.Job.Steps = append(a.Job.Steps, decl)
 		a.Takes = append(a.Takes, takes)
@@ -128,8 +145,9 @@
 	return a
 }
 
-// drawn returns a number of a mean whose logarithm has a standard deviation.
-func drawn(random *rand.Rand, mean, spread float64) float64 {
+// logNormal returns a log-normally distributed random number with the given mean. The
+// spread is the standard deviation of its logarithm.
+func logNormal(random *rand.Rand, mean, spread float64) float64 {
 	return mean * math.Exp(spread*random.NormFloat64()-spread*spread/2)
 }
 
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -10,51 +10,55 @@
 	"jaythread/jaysched"
 )
 
-// host is an instance.
+// host is an instance in the inventory.
 type host struct {
-	name   string
-	pool   string
-	state  jayport.HostState
+	name  string
+	pool  string
+	state jayport.HostState
+	// worker is nil while the host is down or moving, and in the standby pool.
 	worker *worker
+	// starts counts the incarnations of the host's worker.
 	starts int
 }
 
 const (
-	// rackSize is how many hosts one rack holds.
+	// rackSize is the number of hosts in a rack.
 	rackSize = 8
-	// fleetEvery is how often the fleet's owner decides, demandEvery how often it
-	// asks each pool what it needs, and hostsEvery how often it reads the inventory.
-	fleetEvery  = 50 * time.Millisecond
-	demandEvery = 150 * time.Millisecond
-	hostsEvery  = 400 * time.Millisecond
-	// inventoryTime is how long a call to the inventory takes.
-	inventoryTime = 10 * time.Millisecond
+	// fleetInterval is the interval at which the fleet's owner decides.
+	fleetInterval = 50 * time.Millisecond
+	// demandInterval is the interval at which the fleet's owner asks each pool for its
+	// demand.
+	demandInterval = 150 * time.Millisecond
+	// inventoryInterval is the interval at which the fleet's owner reads the inventory.
+	inventoryInterval = 400 * time.Millisecond
+	// inventoryLatency is how long a call to the inventory takes.
+	inventoryLatency = 10 * time.Millisecond
 )
 
-func (p *player) addHost(pool string) {
-	h := &host{name: fmt.Sprintf("m%03d", len(p.hosts)), pool: pool, state: jayport.HostUp}
-	p.hosts = append(p.hosts, h)
+func (s *simulation) addHost(pool string) {
+	h := &host{name: fmt.Sprintf("m%03d", len(s.hosts)), pool: pool, state: jayport.HostUp}
+	s.hosts = append(s.hosts, h)
 	if pool != standby {
-		p.boot(h)
+		s.boot(h)
 	}
 }
 
 // boot starts the next incarnation of a host's worker.
-func (p *player) boot(h *host) {
+func (s *simulation) boot(h *host) {
 	h.starts++
 	id := fmt.Sprintf("%s-%d", h.name, h.starts)
 	h.worker = &worker{
-		player: p,
-		free:   p.load.Size,
+		sim:    s,
+		free:   s.load.Size,
 		active: map[jayport.RunRef]*activeRun{},
 		info: jayport.Worker{
-			ID: id, Addr: id, Pool: h.pool, Rack: fmt.Sprint("r", (h.number()-1)/rackSize), Labels: []string{"a"}, Capacity: p.load.Size,
+			ID: id, Addr: id, Pool: h.pool, Rack: fmt.Sprint("r", (h.number()-1)/rackSize), Labels: []string{"a"}, Capacity: s.load.Size,
 		},
 	}
-	p.owner(h.pool).workers[id] = h.worker
+	s.owner(h.pool).workers[id] = h.worker
 }
 
-// number counts the hosts from one, in the order of their names.
+// number returns the position of the host in the order of names, starting at one.
 func (h *host) number() int {
 	number := 0
 	if _, err := fmt.Sscanf(h.name, "m%d", &number); err != nil {
@@ -63,28 +67,28 @@
 	return number + 1
 }
 
-// beginFleet starts the fleet's owner.
-func (p *player) beginFleet() {
-	p.clock.every(hostsEvery, func() {
-		asked := p.clock.now
-		list := p.list()
-		p.clock.after(inventoryTime, func() { p.fleet.Listed(list, asked) })
+// startFleetOwner starts the periodic work of the fleet's owner.
+func (s *simulation) startFleetOwner() {
+	s.clock.every(inventoryInterval, func() {
+		asked := s.clock.now
+		list := s.listHosts()
+		s.clock.after(inventoryLatency, func() { s.fleet.Listed(list, asked) })
 	})
-	for _, o := range p.pools {
-		p.clock.every(demandEvery, func() { p.askDemand(o) })
+	for _, o := range s.owners {
+		s.clock.every(demandInterval, func() { s.requestDemand(o) })
 	}
-	p.clock.every(fleetEvery, func() {
-		for _, a := range p.fleet.Decide(p.clock.now) {
-			p.perform(a)
+	s.clock.every(fleetInterval, func() {
+		for _, a := range s.fleet.Decide(s.clock.now) {
+			s.perform(a)
 		}
-		p.fleet.Notes()
+		s.fleet.Notes()
 	})
 }
 
-func (p *player) list() []jayport.Host {
-	list := make([]jayport.Host, 0, len(p.hosts))
-	for _, h := range p.hosts {
-		listed := jayport.Host{Name: h.name, Pool: h.pool, State: h.state, Labels: []string{"a"}, Capacity: p.load.Size}
+func (s *simulation) listHosts() []jayport.Host {
+	list := make([]jayport.Host, 0, len(s.hosts))
+	for _, h := range s.hosts {
+		listed := jayport.Host{Name: h.name, Pool: h.pool, State: h.state, Labels: []string{"a"}, Capacity: s.load.Size}
 		if h.worker != nil {
 			listed.Worker = h.worker.info.ID
 		}
@@ -93,26 +97,26 @@
 	return list
 }
 
-// askDemand tells a pool which workers to vacate and takes in what it needs.
-func (p *player) askDemand(o *poolOwner) {
-	asked := p.clock.now
+// requestDemand tells a pool which workers to vacate and passes its demand to the fleet.
+func (s *simulation) requestDemand(o *poolOwner) {
+	asked := s.clock.now
 	var orders []jaysched.Vacate
-	for worker, how := range p.fleet.Vacating(o.name) {
+	for worker, how := range s.fleet.Vacating(o.name) {
 		orders = append(orders, jaysched.Vacate{Worker: worker, Urgent: how.Urgent, Migrate: how.Migrate})
 	}
-	existing, read, known := p.fleet.Existing(o.name)
-	p.clock.after(wayTime, func() {
+	existing, read, known := s.fleet.Existing(o.name)
+	s.clock.after(linkLatency, func() {
 		if known {
-			o.pool.Surveyed(existing, read, p.clock.now)
+			o.pool.Surveyed(existing, read, s.clock.now)
 		}
-		o.pool.SetVacating(orders, p.clock.now)
-		demand := demandOf(o.pool.Demand(p.clock.now), asked)
-		o.act()
-		p.clock.after(wayTime, func() { p.fleet.Demanded(o.name, demand) })
+		o.pool.SetVacating(orders, s.clock.now)
+		demand := fleetDemand(o.pool.Demand(s.clock.now), asked)
+		o.scheduleDecision()
+		s.clock.after(linkLatency, func() { s.fleet.Demanded(o.name, demand) })
 	})
 }
 
-func demandOf(d jaysched.Demand, at time.Duration) jayfleet.Demand {
+func fleetDemand(d jaysched.Demand, at time.Duration) jayfleet.Demand {
 	demand := jayfleet.Demand{
 		NeedMilli:    d.NeedMilli,
 		SpareMilli:   d.SpareMilli,
@@ -131,68 +135,71 @@
 	return demand
 }
 
-// perform carries an action of the fleet out.
-func (p *player) perform(action jayfleet.Action) {
+// perform carries out an action of the fleet.
+func (s *simulation) perform(action jayfleet.Action) {
 	switch a := action.(type) {
 	case jayfleet.MoveHost:
-		p.clock.after(inventoryTime, func() {
-			err := p.move(a)
-			p.clock.after(wayTime, func() { p.fleet.Answered(a.Host, err, p.clock.now) })
+		s.clock.after(inventoryLatency, func() {
+			err := s.moveHost(a)
+			s.clock.after(linkLatency, func() { s.fleet.Answered(a.Host, err, s.clock.now) })
 		})
 	case jayfleet.MaintainHost, jayfleet.RecordWave:
 	}
 }
 
-// crashed takes a host's worker down and starts its next incarnation after a while.
-func (p *player) crashed(w *worker) {
-	p.crashes++
-	for _, h := range p.hosts {
+// workerCrashed takes the host of a crashed worker down and restarts the worker after the
+// reboot time.
+func (s *simulation) workerCrashed(w *worker) {
+	s.crashes++
+	for _, h := range s.hosts {
 		if h.worker == w {
-			p.lose(h, p.load.RebootTime)
+			s.takeDown(h, s.load.RebootTime)
 		}
 	}
 }
 
-// takeDown takes the workers of an outage down.
-func (p *player) takeDown(o Outage) {
-	for n, h := range p.hosts {
+// startOutage takes down the hosts that an outage selects.
+func (s *simulation) startOutage(o Outage) {
+	for n, h := range s.hosts {
 		if n%o.Each == o.First%o.Each && h.worker != nil {
-			p.lose(h, o.For)
+			s.takeDown(h, o.For)
 		}
 	}
 }
 
-// lose ends the worker of a host and starts its next incarnation after a while.
-func (p *player) lose(h *host, away time.Duration) {
-	h.worker.vanish()
+// takeDown terminates the worker of a host and starts its next incarnation after the given
+// time.
+func (s *simulation) takeDown(h *host, away time.Duration) {
+	h.worker.terminate()
 	h.worker, h.state = nil, jayport.HostDown
-	p.clock.after(away, func() {
+	s.clock.after(away, func() {
 		h.state = jayport.HostUp
-		p.boot(h)
+		s.boot(h)
 	})
 }
 
-// errBusy is the inventory's answer for a host that is not up.
-var errBusy = &jayport.HostError{Reason: jayport.HostBusy}
+// errHostBusy is the inventory's answer to the move of a host that is not up.
+var errHostBusy = &jayport.HostError{Reason: jayport.HostBusy}
 
-func (p *player) move(a jayfleet.MoveHost) error {
-	for _, h := range p.hosts {
+// moveHost moves a host to another pool. Its worker ends at once.
+func (s *simulation) moveHost(a jayfleet.MoveHost) error {
+	for _, h := range s.hosts {
 		if h.name != a.Host {
 			continue
 		}
 		if h.state != jayport.HostUp {
-			return errBusy
+			return errHostBusy
 		}
 		if h.worker != nil {
-			h.worker.vanish()
+			h.worker.terminate()
 			h.worker = nil
 		}
-		p.moves++
+		s.moves++
 		h.pool, h.state = a.Pool, jayport.HostMoving
-		p.clock.after(p.load.MoveTime, func() {
+		s.clock.after(s.load.MoveTime, func() {
 			h.state = jayport.HostUp
 			if h.pool != standby {
-				p.boot(h)
+				s.boot(h)
 			}
 		})
 		return nil
--- a/jayreplay/link.go
+++ b/jayreplay/link.go
@@ -3,32 +3,35 @@
 import "time"
 
 const (
-	// wayTime is how long an order or its answer is under way on a link that is free.
-	wayTime = 2500 * time.Microsecond
-	// startBytes and answerBytes are the size of an order and of its answer, askBytes
-	// that of a request for a report. A report has reportBytes, and runBytes more for
-	// each run that it names.
-	startBytes  = 600
+	// linkLatency is the latency of a message in one direction on an idle link.
+	linkLatency = 2500 * time.Microsecond
+	// orderBytes is the size of an order to start or stop a run.
+	orderBytes = 600
+	// answerBytes is the size of the answer to an order.
 	answerBytes = 250
-	askBytes    = 300
+	// reportRequestBytes is the size of a request for a report.
+	reportRequestBytes = 300
+	// reportBytes is the size of a report without runs.
 	reportBytes = 300
-	runBytes    = 60
+	// reportRunBytes is the size of one run in a report.
+	reportRunBytes = 60
 )
 
-// link carries what is sent one after the other.
+// link is one direction of a network link. It transmits messages one after the other.
 type link struct {
 	clock *clock
-	// rate is in bytes a second; zero bounds nothing. free is when it has carried all.
+	// rate is the bandwidth in bytes per second. Zero means unlimited.
 	rate float64
-	free time.Duration
+	// busyUntil is when all messages sent so far have been transmitted.
+	busyUntil time.Duration
 }
 
-// carry has something happen once so many bytes have arrived.
-func (l *link) carry(bytes int, do func()) {
+// send transmits a message of the given size and calls do when the message arrives.
+func (l *link) send(bytes int, do func()) {
 	wait := time.Duration(0)
 	if l.rate > 0 {
-		l.free = max(l.free, l.clock.now) + seconds(float64(bytes)/l.rate)
-		wait = l.free - l.clock.now
+		l.busyUntil = max(l.busyUntil, l.clock.now) + seconds(float64(bytes)/l.rate)
+		wait = l.busyUntil - l.clock.now
 	}
-	l.clock.after(wait+wayTime, do)
+	l.clock.after(wait+linkLatency, do)
 }
--- a/jayreplay/load.go
+++ b/jayreplay/load.go
@@ -7,59 +7,64 @@
 	"jaythread/jayspec"
 )
 
-// Load is what is played.
+// Load describes the hosts, the jobs and the failures of a simulation.
 type Load struct {
-	// Hosts are how many instances each pool has at the start; Off is how many are
-	// off.
+	// Hosts is the number of instances in each pool at the start.
 	Hosts map[string]int
-	Off   int
-	// Size is the room of each instance.
+	// Off is the number of instances that are switched off at the start.
+	Off int
+	// Size is the capacity of each instance.
 	Size jaypool.Resources
-	// MoveTime is how long an instance takes from pool to pool.
+	// MoveTime is how long the move of an instance to another pool takes.
 	MoveTime time.Duration
-	// RebootTime is how long an instance is away after its worker has crashed.
+	// RebootTime is how long an instance is unavailable after a crash of its worker.
 	RebootTime time.Duration
-	// Outages are losses of workers that no task causes.
+	// Outages are losses of workers that are not caused by a task.
 	Outages []Outage
-	// Link is how many bytes a second the link of a pool's owner carries each way; zero
-	// bounds nothing.
+	// Link is the bandwidth of the network link of each pool's owner in bytes per second,
+	// for each direction. Zero means unlimited.
 	Link float64
-	// Arrivals are the jobs, in the order of their times.
+	// Arrivals are the submitted jobs, ordered by time.
 	Arrivals []Arrival
-	// From is when instance seconds begin to count, Until is when the play ends.
-	From  time.Duration
+	// From is the time from which instance-seconds are counted.
+	From time.Duration
+	// Until is the end of the simulation.
 	Until time.Duration
 }
 
-// Outage takes the workers of some hosts down for a time: each of a number of hosts, from
-// one on, in the order of their names.
+// Outage is a loss of the workers on some of the hosts for a limited time.
 type Outage struct {
-	At    time.Duration
-	For   time.Duration
+	// At is when the outage begins.
+	At time.Duration
+	// For is how long the outage lasts.
+	For time.Duration
+	// First and Each select the hosts: every Each-th host in the order of their names,
+	// where First, taken modulo Each, is the index of the first one.
 	First int
 	Each  int
 }
 
-// Arrival is a job that is submitted.
+// Arrival is the submission of a job.
 type Arrival struct {
 	At  time.Duration
 	Job *jayspec.Job
-	// Takes is how long each task runs in fact, by step and index; those of a job that
-	// longRunning tasks run until the end.
+	// Takes is the actual run time of each task, by step and index. Long-running tasks have
+	// no entry: they run until the end of the simulation.
 	Takes [][]time.Duration
-	// Crashes are the tasks that crash each worker that starts them.
+	// Crashes lists the tasks that crash every worker that starts them.
 	Crashes []Crash
 }
 
-// Crash is a task that crashes its worker so long after its start.
+// Crash identifies a task that crashes its worker.
 type Crash struct {
 	Step  int
 	Index int
+	// After is the time from the start of the task to the crash.
 	After time.Duration
 }
 
-// objective is within which time the job should be done, by what its tasks take in
-// fact; a long-running one has none.
+// objective returns the time within which the job should be done, based on the actual run
+// times of its tasks. It is zero for a long-running job.
 func (a *Arrival) objective() time.Duration {
 	if a.Job.LongRunning() {
 		return 0
@@ -74,7 +79,8 @@
 	return time.Duration(a.Job.Policy.Stretch*float64(chain)) + a.Job.Policy.Objective
 }
 
-// work is the work of the job in core-seconds, by what its tasks take in fact.
+// work returns the work of the job in core-seconds, based on the actual run times of its
+// tasks.
 func (a *Arrival) work() float64 {
 	total := 0.0
 	for n, takes := range a.Takes {
--- a/jayreplay/loads_test.go
+++ b/jayreplay/loads_test.go
@@ -7,18 +7,18 @@
 	"jaythread/jayspec"
 )
 
-// lead is how long the pools are idle before the first jobs come.
-const lead = 14 * time.Second
+// warmUp is how long the pools are idle before the first jobs arrive.
+const warmUp = 14 * time.Second
 
-// instance is the room of each instance in these loads.
+// instance is the capacity of each instance in these loads.
 var instance = jaypool.Resources{ProcessorsMilli: 64_000, MemoryMegabytes: 262_144}
 
-// aim is what the queues of these loads promise.
-var aim = jayspec.Policy{Attempts: 4, Stretch: 1.6, Objective: 600 * time.Millisecond}
+// policy is the policy of all queues in these loads.
+var policy = jayspec.Policy{Attempts: 4, Stretch: 1.6, Objective: 600 * time.Millisecond}
 
-// fourRushes is a load of four queues, two of quick jobs and two of large ones, that have
-// a rush each, one after the other, on 49 instances.
-func fourRushes(seed uint64, changes ...func(*Turns, *Load)) Load {
+// fourPeaks returns a load of four queues on 49 instances, two with short jobs and two
+// with large ones. Their load peaks follow one another.
+func fourPeaks(seed uint64, changes ...func(*Turns, *Load)) Load {
 	quick := Shape{
 		Steps: 1.6, Width: 6, Takes: 800 * time.Millisecond, EstimateOff: 0.9,
 		Need: jaypool.Resources{ProcessorsMilli: 3_500, MemoryMegabytes: 13_000},
@@ -28,16 +28,16 @@
 		Need: jaypool.Resources{ProcessorsMilli: 7_700, MemoryMegabytes: 30_000},
 	}
 	of := func(s Shape, queue string, rate float64) Shape {
-		s.Queue, s.Pool, s.Rate, s.Policy = queue, "pool-"+queue, rate, aim
+		s.Queue, s.Pool, s.Rate, s.Policy = queue, "pool-"+queue, rate, policy
 		return s
 	}
 	turns := Turns{
 		Shapes: []Shape{of(quick, "a", 9.07), of(large, "b", 1.06), of(quick, "c", 11.3), of(large, "d", 1.3)},
-		Width:  7 * time.Second, Between: 0.05, Begin: lead, For: 34 * time.Second, Seed: seed,
+		Width:  7 * time.Second, Between: 0.05, Begin: warmUp, For: 34 * time.Second, Seed: seed,
 	}
 	load := Load{
 		Hosts: map[string]int{"pool-a": 9, "pool-b": 9, "pool-c": 11, "pool-d": 12}, Off: 8,
-		Size: instance, MoveTime: 1500 * time.Millisecond, From: lead, Until: lead + 48*time.Second,
+		Size: instance, MoveTime: 1500 * time.Millisecond, From: warmUp, Until: warmUp + 48*time.Second,
 	}
 	for _, change := range changes {
 		change(&turns, &load)
@@ -46,8 +46,8 @@
 	return load
 }
 
-// heavier has so many times as many jobs come.
-func heavier(times float64) func(*Turns, *Load) {
+// withRateFactor multiplies the arrival rates of all queues.
+func withRateFactor(times float64) func(*Turns, *Load) {
 	return func(t *Turns, l *Load) {
 		for n := range t.Shapes {
 			t.Shapes[n].Rate *= times
@@ -56,15 +56,15 @@
 	}
 }
 
-// behindLink has the owners' links carry so many bytes a second.
-func behindLink(rate float64) func(*Turns, *Load) {
+// withLinkRate limits the links of the owners to a bandwidth in bytes per second.
+func withLinkRate(rate float64) func(*Turns, *Load) {
 	return func(_ *Turns, l *Load) { l.Link = rate }
 }
 
-// withLongRuns returns a job of long-running tasks.
-func longRunning(id, pool string, at time.Duration, tasks int, need jaypool.Resources, apart int) Arrival {
+// longRunningJob returns a job of long-running tasks.
+func longRunningJob(id, pool string, at time.Duration, tasks int, need jaypool.Resources, apart int) Arrival {
 	return Arrival{At: at, Job: &jayspec.Job{
-		ID: id, Queue: "longRunning", Pool: pool, Text: "text", Policy: aim,
+		ID: id, Queue: "longRunning", Pool: pool, Text: "text", Policy: policy,
 		Steps: []jayspec.Step{{Tasks: tasks, Need: need, LongRunning: true, MaxPerInstance: apart, MayMiss: 1}},
 	}}
 }
--- a/jayreplay/owner.go
+++ b/jayreplay/owner.go
@@ -11,84 +11,89 @@
 	"jaythread/jaysched"
 )
 
-// poolOwner carries a pool's actions out, as its duty does.
+// poolOwner owns a pool: it passes events to the pool's scheduler and carries out its
+// actions.
 type poolOwner struct {
-	player   *player
+	sim      *simulation
 	name     string
 	pool     *jaysched.Pool
 	workers  map[string]*worker
 	latency  *jaysched.Latency
-	out      link
-	in       link
-	awake    bool
+	outbound link
+	inbound  link
+	// decisionPending says that a decision is scheduled for the current time.
+	decisionPending bool
+	// flushing says that an append to the store is in progress.
 	flushing bool
 }
 
 const (
-	// listEvery is between two looks at the list of workers, crowdedListEvery the
-	// same while tasks wait for room.
-	listEvery        = 300 * time.Millisecond
-	crowdedListEvery = 100 * time.Millisecond
-	// lookEvery is how often a pool looks at what time alone changes.
-	lookEvery = 50 * time.Millisecond
-	// leaseTime is how long a worker runs on without hearing from the owner.
-	leaseTime = 4 * time.Second
+	// listInterval is the interval at which the list of workers is read.
+	listInterval = 300 * time.Millisecond
+	// crowdedListInterval is the interval at which the list of workers is read while
+	// tasks wait for free capacity.
+	crowdedListInterval = 100 * time.Millisecond
+	// decisionInterval is the interval at which a pool decides even if there was no event.
+	decisionInterval = 50 * time.Millisecond
+	// leaseDuration is how long the runs on a worker go on without a renewal of its lease.
+	leaseDuration = 4 * time.Second
 )
 
-func newPoolOwner(p *player, name string) *poolOwner {
+func newPoolOwner(s *simulation, name string) *poolOwner {
 	return &poolOwner{
-		player:  p,
-		name:    name,
-		workers: map[string]*worker{},
-		latency: jaysched.NewLatency(),
-		out:     link{clock: &p.clock, rate: p.load.Link},
-		in:      link{clock: &p.clock, rate: p.load.Link},
+		sim:      s,
+		name:     name,
+		workers:  map[string]*worker{},
+		latency:  jaysched.NewLatency(),
+		outbound: link{clock: &s.clock, rate: s.load.Link},
+		inbound:  link{clock: &s.clock, rate: s.load.Link},
 		pool: jaysched.NewPool(name, jaysched.Settings{
-			Lease:     leaseTime,
+			Lease:     leaseDuration,
 			Stop:      200 * time.Millisecond,
-			MoveTime:  p.load.MoveTime,
+			MoveTime:  s.load.MoveTime,
 			FarFactor: 1.5,
 		}),
 	}
 }
 
-func (o *poolOwner) begin() {
-	o.list()
-	o.player.clock.every(lookEvery, o.act)
+func (o *poolOwner) start() {
+	o.listWorkers()
+	o.sim.clock.every(decisionInterval, o.scheduleDecision)
 }
 
-// list hands the list of workers to the pool from time to time.
-func (o *poolOwner) list() {
+// listWorkers passes the list of workers to the pool and schedules the next listing.
+func (o *poolOwner) listWorkers() {
 	var list []jayport.Worker
 	for _, w := range o.workers {
-		if !w.gone {
+		if !w.terminated {
 			list = append(list, w.info)
 		}
 	}
 	slices.SortFunc(list, func(a, b jayport.Worker) int { return strings.Compare(a.ID, b.ID) })
-	o.pool.Listed(list, o.player.clock.now)
-	o.act()
-	pause := listEvery
+	o.pool.Listed(list, o.sim.clock.now)
+	o.scheduleDecision()
+	pause := listInterval
 	if o.pool.Crowded() {
-		pause = crowdedListEvery
+		pause = crowdedListInterval
 	}
-	o.player.clock.after(pause, o.list)
+	o.sim.clock.after(pause, o.listWorkers)
 }
 
-// act has the pool decide once all that is due now has happened.
-func (o *poolOwner) act() {
-	if o.awake {
+// scheduleDecision schedules a decision of the pool at the current time, after the events that
+// are already due. Only one decision is pending at a time.
+func (o *poolOwner) scheduleDecision() {
+	if o.decisionPending {
 		return
 	}
-	o.awake = true
-	o.player.clock.after(0, func() {
-		o.awake = false
+	o.decisionPending = true
+	o.sim.clock.after(0, func() {
+		o.decisionPending = false
 		o.pool.SetStarts(o.latency.Starts())
-		for _, a := range o.pool.Decide(o.player.clock.now) {
+		for _, a := range o.pool.Decide(o.sim.clock.now) {
 			o.perform(a)
 		}
 		o.flush()
-		o.show()
+		o.recordOutcomes()
 	})
 }
 
@@ -106,46 +111,47 @@
 	}
 }
 
-// worker returns an incarnation of a worker, also one that is over.
+// worker returns the worker with the given ID. For an unknown ID it returns a terminated
+// worker, which answers no request.
 func (o *poolOwner) worker(id string) *worker {
 	if w, known := o.workers[id]; known {
 		return w
 	}
-	return &worker{player: o.player, gone: true}
+	return &worker{sim: o.sim, terminated: true}
 }
 
 func (o *poolOwner) startRun(a jaysched.StartRun) {
-	c := &o.player.clock
+	c := &o.sim.clock
 	sent := c.now
 	o.latency.Sent()
-	answered := o.once(o.latency.OrderTimeout(), func(err error) {
+	answered := o.answerOnce(o.latency.OrderTimeout(), func(err error) {
 		o.latency.Answered(c.now-sent, errors.Is(err, jayport.ErrNoAnswer))
 		o.pool.StartAnswered(a.To, a.Order.Run, c.now, err, c.now)
 	})
 	w := o.worker(a.To.ID)
-	o.out.carry(startBytes, func() {
+	o.outbound.send(orderBytes, func() {
 		err := w.start(a.Order)
-		o.in.carry(answerBytes, func() { answered(err) })
+		o.inbound.send(answerBytes, func() { answered(err) })
 	})
 }
 
 func (o *poolOwner) stopRun(a jaysched.StopRun) {
-	c := &o.player.clock
-	answered := o.once(o.latency.OrderTimeout(), func(err error) {
+	c := &o.sim.clock
+	answered := o.answerOnce(o.latency.OrderTimeout(), func(err error) {
 		o.pool.StopAnswered(a.To, a.Run, c.now, err, c.now)
 	})
 	w := o.worker(a.To.ID)
-	o.out.carry(startBytes, func() {
+	o.outbound.send(orderBytes, func() {
 		err := w.stop(a.Run)
-		o.in.carry(answerBytes, func() { answered(err) })
+		o.inbound.send(answerBytes, func() { answered(err) })
 	})
 }
 
 func (o *poolOwner) renewLease(a jaysched.RenewLease) {
-	c := &o.player.clock
+	c := &o.sim.clock
 	asked := c.now
 	var report jayport.Report
-	answered := o.once(o.latency.ReportTimeout()+a.Order.Wait, func(err error) {
+	answered := o.answerOnce(o.latency.ReportTimeout()+a.Order.Wait, func(err error) {
 		if err != nil {
 			o.pool.Silent(a.To, c.now)
 			return
@@ -153,9 +159,9 @@
 		o.pool.Reported(a.To, report, asked, c.now)
 	})
 	w := o.worker(a.To.ID)
-	o.out.carry(askBytes, func() {
+	o.outbound.send(reportRequestBytes, func() {
 		w.renew(a.Order, func(r jayport.Report, err error) {
-			o.in.carry(reportBytes+runBytes*(len(r.Active)+len(r.Ended)), func() {
+			o.inbound.send(reportBytes+reportRunBytes*(len(r.Active)+len(r.Ended)), func() {
 				report = r
 				answered(err)
 			})
@@ -163,9 +169,9 @@
 	})
 }
 
-// once returns a function that takes an answer in. Without one in time it takes in that
-// there is none, and an answer that comes later is not taken.
-func (o *poolOwner) once(timeout time.Duration, take func(error)) func(error) {
+// answerOnce returns a function that passes an answer to take. If none arrives before the
+// timeout, take gets jayport.ErrNoAnswer, and a later answer is ignored.
+func (o *poolOwner) answerOnce(timeout time.Duration, take func(error)) func(error) {
 	taken := false
 	answered := func(err error) {
 		if taken {
@@ -173,15 +179,15 @@
 		}
 		taken = true
 		take(err)
-		o.act()
+		o.scheduleDecision()
 	}
-	o.player.clock.after(timeout, func() { answered(jayport.ErrNoAnswer) })
+	o.sim.clock.after(timeout, func() { answered(jayport.ErrNoAnswer) })
 	return answered
 }
 
-// flush records what has changed, one append at a time.
+// flush appends the pool's changes to the store, with at most one append in progress.
 func (o *poolOwner) flush() {
-	now := o.player.clock.now
+	now := o.sim.clock.now
 	if o.flushing || !o.pool.Recordable(now) {
 		return
 	}
@@ -190,20 +196,20 @@
 		return
 	}
 	o.flushing = true
-	o.player.clock.after(storeTime, func() {
+	o.sim.clock.after(storeLatency, func() {
 		o.flushing = false
-		o.pool.Flushed(batch, o.player.clock.now)
-		o.act()
+		o.pool.Flushed(batch, o.sim.clock.now)
+		o.scheduleDecision()
 	})
 }
 
-// show notes which jobs are shown as done or failed.
-func (o *poolOwner) show() {
+// recordOutcomes records when jobs were first shown as done or failed.
+func (o *poolOwner) recordOutcomes() {
 	for _, n := range o.pool.Notes() {
 		if n.Kind != jaysched.JobRecorded {
 			continue
 		}
-		j := o.player.jobs[n.Job]
+		j := o.sim.jobs[n.Job]
 		switch n.Detail {
 		case jaysched.Done.String():
 			j.Done = cmp.Or(j.Done, n.At)
--- a/jayreplay/result.go
+++ b/jayreplay/result.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// lateFactor is up to how many times its objective a job that is late still serves
-// its caller.
-const lateFactor = 3
+// servedFactor is the multiple of its objective within which the result of a late job is
+// still useful to its caller.
+const servedFactor = 3
 
-// JobResult is what became of a job.
+// JobResult is the outcome of a job.
 type JobResult struct {
 	Queue     string
 	Submitted time.Duration
 	Objective time.Duration
-	// Work is in core-seconds.
+	// Work is the work of the job in core-seconds.
 	Work float64
-	// Done is when the job was shown as done, Failed when it was shown as failed; zero is
-	// never.
-	Done   time.Duration
+	// Done is when the job was first shown as done, or zero.
+	Done time.Duration
+	// Failed is when the job was first shown as failed, or zero.
 	Failed time.Duration
-	// Crashes says that some of its tasks crash their workers, Starts how often the one
-	// was started that was started most often.
+	// Crashes says that some of the job's tasks crash their workers.
 	Crashes bool
-	Starts  int
+	// Starts is the largest number of runs of one of the crashing tasks.
+	Starts int
 }
 
 // InTime reports whether the job was done within its objective.
@@ -31,32 +31,33 @@
 	return j.Done > 0 && j.Done-j.Submitted <= j.Objective
 }
 
-// Served reports whether the job was done while that was still of use.
+// Served reports whether the job was done while its result was still useful.
 func (j JobResult) Served() bool {
-	return j.Done > 0 && j.Done-j.Submitted <= lateFactor*j.Objective
+	return j.Done > 0 && j.Done-j.Submitted <= servedFactor*j.Objective
 }
 
-// Result is the outcome of a play.
+// Result is the outcome of a simulation.
 type Result struct {
-	// Jobs are those that end by themselves, in the order in which they came.
+	// Jobs are the jobs in the order of their submission, without long-running ones.
 	Jobs []JobResult
-	// InstanceSeconds is for how long instances were on, Used how much of that their
-	// tasks took, as the seconds of so many whole instances.
+	// InstanceSeconds sums up for how long each instance was on.
 	InstanceSeconds float64
-	Used            float64
-	Moves           int
-	// Lapsed counts the runs that ended since their lease was not renewed.
+	// Used is the part of InstanceSeconds that tasks reserved, by processors.
+	Used float64
+	// Moves counts the instances that were moved to another pool.
+	Moves int
+	// Lapsed counts the runs that ended because their lease was not renewed.
 	Lapsed int
-	// Crashes counts the workers that tasks have crashed.
+	// Crashes counts the workers that were crashed by a task.
 	Crashes int
 }
 
-// InTime is the share of the jobs that were done within their objective.
+// InTime returns the share of the jobs that were done within their objective.
 func (r Result) InTime() float64 {
 	return r.share(JobResult.InTime)
 }
 
-// Served is the share of the jobs that were done while that was still of use.
+// Served returns the share of the jobs that were done while their result was still useful.
 func (r Result) Served() float64 {
 	return r.share(JobResult.Served)
 }
@@ -74,14 +75,14 @@
 	return float64(count) / float64(len(r.Jobs))
 }
 
-// Between returns the result for the jobs that were submitted from one time to
-// another.
+// Between returns the result for the jobs that were submitted at or after from and before
+// to.
 func (r Result) Between(from, to time.Duration) Result {
 	r.Jobs = slices.DeleteFunc(slices.Clone(r.Jobs), func(j JobResult) bool { return j.Submitted < from || j.Submitted >= to })
 	return r
 }
 
-// Sound returns the result for the jobs that crash no worker.
+// Sound returns the result for the jobs that do not crash workers.
 func (r Result) Sound() Result {
 	r.Jobs = slices.DeleteFunc(slices.Clone(r.Jobs), func(j JobResult) bool { return j.Crashes })
 	return r
--- a/jayreplay/worker.go
+++ b/jayreplay/worker.go
@@ -10,131 +10,137 @@
 )
 
 const (
-	// stopTime is how long a worker takes to stop a run.
+	// stopTime is how long a worker needs to stop a run.
 	stopTime = 100 * time.Millisecond
-	// restoreTime is how long a run takes to resume from a checkpoint.
+	// restoreTime is how long a run needs to resume from a checkpoint.
 	restoreTime = 300 * time.Millisecond
 )
 
-// worker is one incarnation of an instance.
+// worker is one incarnation of the worker on an instance.
 type worker struct {
-	player *player
+	sim    *simulation
 	info   jayport.Worker
 	free   jaypool.Resources
 	active map[jayport.RunRef]*activeRun
-	ended  []jayport.EndedRun
-	count  int64
-	// leaseUntil is when all that runs ends unless the lease is renewed.
+	// ended are the ended runs that the pool's owner has not acknowledged yet.
+	ended []jayport.EndedRun
+	// endedCount is the number of the last ended run.
+	endedCount int64
+	// leaseUntil is when all runs end unless the lease is renewed before.
 	leaseUntil time.Duration
-	gone       bool
-	// waiting answers a request that waits for an end.
-	waiting func()
+	// terminated says that this incarnation has ended.
+	terminated bool
+	// pendingReply replies to the pending renewal of the lease, which waits for a run to end.
+	// It is nil if there is none.
+	pendingReply func()
 }
 
-// activeRun is a run on a worker.
+// activeRun is a run that has started on a worker and has not ended.
 type activeRun struct {
-	order   jayport.StartOrder
-	need    jaypool.Resources
-	started time.Duration
-	takes   time.Duration
+	order     jayport.StartOrder
+	need      jaypool.Resources
+	startedAt time.Duration
+	duration  time.Duration
 }
 
-// start begins a run; it returns what the owner is told.
+// start starts a run and returns the answer to the pool's owner.
 func (w *worker) start(order jayport.StartOrder) error {
-	if w.gone {
+	if w.terminated {
 		return jayport.ErrNoAnswer
 	}
 	if _, there := w.active[order.Run]; there {
 		return nil
 	}
-	task := w.player.tasks[order.Run.Task]
+	task := w.sim.tasks[order.Run.Task]
 	if !w.free.Fits(task.need) {
-		return &jayport.RefusedError{Reason: jayport.RefusedNoRoom, Clock: w.player.clock.now}
+		return &jayport.RefusedError{Reason: jayport.RefusedNoRoom, Clock: w.sim.clock.now}
 	}
-	w.lease(order.LeaseUntil)
+	w.extendLease(order.LeaseUntil)
 	if task.startedAt == 0 {
-		task.startedAt = w.player.clock.now
+		task.startedAt = w.sim.clock.now
 	}
-	takes := task.takes - task.saved
-	if task.saved > 0 {
+	takes := task.duration - task.savedTime
+	if task.savedTime > 0 {
 		takes += restoreTime
 	}
-	r := &activeRun{order: order, need: task.need, started: w.player.clock.now, takes: takes}
+	r := &activeRun{order: order, need: task.need, startedAt: w.sim.clock.now, duration: takes}
 	w.active[order.Run] = r
 	w.free = w.free.Sub(task.need)
 	task.starts++
 	if task.crashes {
-		w.player.clock.after(task.crashAfter, func() { w.crash(r) })
+		w.sim.clock.after(task.crashAfter, func() { w.crash(r) })
 	}
 	if !task.longRunning {
-		w.player.clock.after(takes, func() { w.end(r, jayport.EndedDone) })
+		w.sim.clock.after(takes, func() { w.end(r, jayport.EndedDone) })
 	}
 	return nil
 }
 
-// end ends a run and answers the request that waits for it.
+// end ends a run and replies to the pending request.
 func (w *worker) end(r *activeRun, how jayport.Ending) {
-	if w.gone || w.active[r.order.Run] != r {
+	if w.terminated || w.active[r.order.Run] != r {
 		return
 	}
 	delete(w.active, r.order.Run)
 	w.free = w.free.Add(r.need)
-	w.count++
-	end := jayport.EndedRun{Number: w.count, Run: r.order.Run, Ending: how}
+	w.endedCount++
+	end := jayport.EndedRun{Number: w.endedCount, Run: r.order.Run, Ending: how}
 	if how == jayport.EndedStopped {
-		end.Checkpoint = w.player.save(r)
+		end.Checkpoint = w.sim.saveCheckpoint(r)
 	}
 	w.ended = append(w.ended, end)
-	w.answer()
+	w.sendReply()
 }
 
-// answer answers the request that waits, if there is one.
-func (w *worker) answer() {
-	if w.waiting != nil {
-		reply := w.waiting
-		w.waiting = nil
+// sendReply replies to the pending request, if there is one.
+func (w *worker) sendReply() {
+	if w.pendingReply != nil {
+		reply := w.pendingReply
+		w.pendingReply = nil
 		reply()
 	}
 }
 
-// lease takes in until when runs may go on, and ends them then if nothing longer came.
-func (w *worker) lease(until time.Duration) {
+// extendLease extends the lease. All runs end when it expires, unless it was extended
+// again before.
+func (w *worker) extendLease(until time.Duration) {
 	if until <= w.leaseUntil {
 		return
 	}
 	w.leaseUntil = until
-	w.player.clock.after(until-w.player.clock.now, func() {
-		if w.gone || w.leaseUntil > until {
+	w.sim.clock.after(until-w.sim.clock.now, func() {
+		if w.terminated || w.leaseUntil > until {
 			return
 		}
-		for _, run := range w.runs() {
-			w.player.lapsed++
+		for _, run := range w.activeRuns() {
+			w.sim.expiredRuns++
 			w.end(w.active[run], jayport.EndedLapsed)
 		}
 	})
 }
 
 func (w *worker) stop(run jayport.RunRef) error {
-	if w.gone {
+	if w.terminated {
 		return jayport.ErrNoAnswer
 	}
 	if r, there := w.active[run]; there {
-		w.player.clock.after(stopTime, func() { w.end(r, jayport.EndedStopped) })
+		w.sim.clock.after(stopTime, func() { w.end(r, jayport.EndedStopped) })
 	}
 	return nil
 }
 
-// renew takes in a request and has it answered at once, when a run ends, or when it
-// has waited for long enough.
+// renew handles a request that renews the lease and asks for a report. It replies at once
+// if the request does not wait or if there are ended runs to report, and otherwise when a
+// run ends or the wait time of the request is over.
 func (w *worker) renew(order jayport.LeaseOrder, reply func(jayport.Report, error)) {
-	if w.gone {
+	if w.terminated {
 		reply(jayport.Report{}, jayport.ErrNoAnswer)
 		return
 	}
-	w.lease(order.LeaseUntil)
+	w.extendLease(order.LeaseUntil)
 	w.ended = slices.DeleteFunc(w.ended, func(e jayport.EndedRun) bool { return e.Number <= order.Acknowledged })
 	tell := func() {
-		if w.gone {
+		if w.terminated {
 			reply(jayport.Report{}, jayport.ErrNoAnswer)
 			return
 		}
@@ -148,42 +154,42 @@
 	once := func() {
 		if !answered {
 			answered = true
-			w.waiting = nil
+			w.pendingReply = nil
 			tell()
 		}
 	}
-	w.waiting = once
-	w.player.clock.after(order.Wait, once)
+	w.pendingReply = once
+	w.sim.clock.after(order.Wait, once)
 }
 
 func (w *worker) report() jayport.Report {
-	r := jayport.Report{Clock: w.player.clock.now, Ended: slices.Clone(w.ended)}
-	for _, run := range w.runs() {
+	r := jayport.Report{Clock: w.sim.clock.now, Ended: slices.Clone(w.ended)}
+	for _, run := range w.activeRuns() {
 		r.Active = append(r.Active, jayport.ActiveRun{Run: run, Speed: fullSpeed})
 	}
 	return r
 }
 
-// runs returns what runs, in order.
-func (w *worker) runs() []jayport.RunRef {
+// activeRuns returns the active runs in a fixed order.
+func (w *worker) activeRuns() []jayport.RunRef {
 	return slices.SortedFunc(maps.Keys(w.active), compareRuns)
 }
 
-// fullSpeed is the speed of a run that is not slowed down, in percent.
+// fullSpeed is the speed of a run that is not throttled, in percent.
 const fullSpeed = 100
 
-// crash ends the worker by one of its runs, if that still runs.
+// crash crashes the worker if the given run is still active.
 func (w *worker) crash(r *activeRun) {
-	if w.gone || w.active[r.order.Run] != r {
+	if w.terminated || w.active[r.order.Run] != r {
 		return
 	}
-	w.player.crashed(w)
+	w.sim.workerCrashed(w)
 }
 
-// vanish ends the worker with all that runs there. A request that waits gets no
-// answer.
-func (w *worker) vanish() {
-	w.gone = true
+// terminate ends the worker together with all its runs. A pending request fails with
+// jayport.ErrNoAnswer.
+func (w *worker) terminate() {
+	w.terminated = true
 	clear(w.active)
-	w.answer()
+	w.sendReply()
 }
