--- a/jaystandin/fleet.go
+++ b/jaystandin/fleet.go
@@ -10,31 +10,37 @@
 	"jaythread/jayplatform"
 )
 
-// Fleet is the instance list and the workers. It implements
+// Fleet simulates the platform's instance list and its workers. It implements
 // jayplatform.InstanceList and jayplatform.Workers.
 type Fleet struct {
 	Ledger *Ledger
 
-	mu         sync.Mutex
-	workers    map[string]*Worker
-	entries    map[string]jayplatform.Instance
-	changes    []change
-	version    uint64
+	mu      sync.Mutex
+	workers map[string]*Worker
+	entries map[string]jayplatform.Instance
+	// changes is the history of the instance list, the oldest change first.
+	changes []change
+	version uint64
+	// lag is how long a change of an instance takes to become visible in the list.
 	lag        time.Duration
 	rebootTime time.Duration
-	judging    bool
+	// countsBreaches says that budget breaches are counted.
+	countsBreaches bool
+	// firstDrain is when the first worker was told to drain.
 	firstDrain time.Time
+	// lastReturn is when the last worker came back from a reboot.
 	lastReturn time.Time
 }
 
+// change is one version of an instance in the list.
 type change struct {
 	version  uint64
 	at       time.Time
 	instance jayplatform.Instance
 }
 
-// NewFleet returns an empty fleet whose list lags and whose workers take
-// rebootTime to come back.
+// NewFleet returns an empty fleet. Changes become visible in its list after lag, and a
+// reboot of a worker takes rebootTime.
 func NewFleet(lag, rebootTime time.Duration) *Fleet {
 	return &Fleet{
 		Ledger:     NewLedger(),
@@ -45,7 +51,7 @@
 	}
 }
 
-// AddWorker starts a worker on loopback and puts it on the list.
+// AddWorker starts a worker on the loopback interface and adds it to the list.
 func (f *Fleet) AddWorker(spec jayplatform.Instance, service string, slots int, serviceTime time.Duration) (*Worker, error) {
 	spec.Kind = jayplatform.Worker
 	w := &Worker{
@@ -57,34 +63,36 @@
 		fences:      map[string]uint64{},
 		tasks:       map[string]jayplatform.TaskReport{},
 	}
-	w.onChange = func() { f.noteWorker(w) }
+	w.onChange = func() { f.publishWorker(w) }
 	if err := w.start(); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
 	f.workers[spec.ID] = w
 	f.mu.Unlock()
-	f.noteWorker(w)
+	f.publishWorker(w)
 	return w, nil
 }
 
-// Judge starts to count budget breaches; before it, workers are still added.
+// Judge starts the counting of budget breaches. It is called once all workers have been
+// added.
 func (f *Fleet) Judge() {
 	f.mu.Lock()
-	f.judging = true
+	f.countsBreaches = true
 	f.mu.Unlock()
 }
 
-// SetEntry puts one of the system's own instances on the list.
+// SetEntry adds or replaces an entry instance in the list. Entry instances are those of the
+// system itself.
 func (f *Fleet) SetEntry(i jayplatform.Instance) {
 	i.Kind = jayplatform.Entry
 	f.mu.Lock()
 	f.entries[i.ID] = i
-	f.add(i)
+	f.addChange(i)
 	f.mu.Unlock()
 }
 
-// Available returns how many workers take work.
+// Available returns the number of workers that are up and not draining.
 func (f *Fleet) Available() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,8 +105,8 @@
 	return n
 }
 
-// RollOut returns the time from the first drain to the last return from a
-// reboot.
+// RollOut returns the time from the first drain of a worker to the last return of a worker
+// from a reboot. It is zero if none has returned yet.
 func (f *Fleet) RollOut() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +116,7 @@
 	return f.lastReturn.Sub(f.firstDrain)
 }
 
-func (f *Fleet) noteDrain() {
+func (f *Fleet) recordDrain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.firstDrain.IsZero() {
@@ -116,7 +124,7 @@
 	}
 }
 
-func (f *Fleet) reviveAfterReboot(id string) {
+func (f *Fleet) restartAfterReboot(id string) {
 	if f.Revive(id) != nil {
 		return
 	}
@@ -125,7 +133,7 @@
 	f.lastReturn = time.Now()
 }
 
-// Worker returns a worker.
+// Worker returns the worker with the given ID.
 func (f *Fleet) Worker(id string) (*Worker, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,22 +141,22 @@
 	return w, ok
 }
 
-// WorkerIDs returns the identities of all workers in order.
+// WorkerIDs returns the IDs of all workers in ascending order.
 func (f *Fleet) WorkerIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return sortedNames(f.workers)
 }
 
-// Kill stops a worker without warning, as a failure does.
+// Kill stops a worker without notice, like a crash.
 func (f *Fleet) Kill(id string) {
 	if w, ok := f.Worker(id); ok {
 		w.stop(false)
-		f.noteWorker(w)
+		f.publishWorker(w)
 	}
 }
 
-// Revive starts a worker that was killed.
+// Revive restarts a worker that was killed. It does nothing if the worker is up.
 func (f *Fleet) Revive(id string) error {
 	w, ok := f.Worker(id)
 	if !ok {
@@ -163,7 +171,7 @@
 	if err := w.start(); err != nil {
 		return err
 	}
-	f.noteWorker(w)
+	f.publishWorker(w)
 	return nil
 }
 
@@ -175,11 +183,12 @@
 	}
 }
 
-// Since returns the changes that the lag has let through.
+// Since returns the visible changes after a version. If there are none, it waits for one
+// for at most the given time.
 func (f *Fleet) Since(version uint64, wait time.Duration) (jayplatform.Changes, error) {
 	const poll = 10 * time.Millisecond
 	for waited := time.Duration(0); ; waited += poll {
-		changes := f.visible(version)
+		changes := f.visibleChanges(version)
 		if len(changes.Instances) > 0 || waited >= wait {
 			return changes, nil
 		}
@@ -187,7 +196,7 @@
 	}
 }
 
-func (f *Fleet) visible(version uint64) jayplatform.Changes {
+func (f *Fleet) visibleChanges(version uint64) jayplatform.Changes {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	latest := map[string]jayplatform.Instance{}
@@ -207,30 +216,31 @@
 	return result
 }
 
-// maxChanges bounds the list's history; older changes of an instance are
-// dropped when a newer one is visible.
+// maxChanges is the length of the history above which superseded changes are dropped.
 const maxChanges = 20_000
 
-// noteWorker puts a worker's present state on the list. It reads the state
-// under the list's lock: of two changes at once, the older state would
-// otherwise come to stand last and stay there.
-func (f *Fleet) noteWorker(w *Worker) {
+// publishWorker adds a worker's current state to the list. It reads the state while it
+// holds the list's lock: otherwise, of two concurrent changes, the older state could be
+// added last and remain the listed one.
+func (f *Fleet) publishWorker(w *Worker) {
 	f.mu.Lock()
 	i := w.report()
-	f.add(i)
+	f.addChange(i)
 	f.mu.Unlock()
-	f.judge(i)
+	f.checkBudget(i)
 }
 
-func (f *Fleet) add(i jayplatform.Instance) {
+func (f *Fleet) addChange(i jayplatform.Instance) {
 	f.version++
 	f.changes = append(f.changes, change{version: f.version, at: time.Now(), instance: i})
 	if len(f.changes) > maxChanges {
-		f.compact()
+		f.dropSuperseded()
 	}
 }
 
-func (f *Fleet) compact() {
+// dropSuperseded drops the changes that are visible and followed by a newer change of the
+// same instance.
+func (f *Fleet) dropSuperseded() {
 	newest := map[string]uint64{}
 	for _, c := range f.changes {
 		newest[c.instance.ID] = c.version
@@ -240,12 +250,13 @@
 	})
 }
 
-// judge counts the available workers of the instance's service.
-func (f *Fleet) judge(i jayplatform.Instance) {
+// checkBudget compares the number of available workers of the instance's service with its
+// minimum.
+func (f *Fleet) checkBudget(i jayplatform.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w, ok := f.workers[i.ID]
-	if !ok || !f.judging {
+	if !ok || !f.countsBreaches {
 		return
 	}
 	available := 0
@@ -254,16 +265,17 @@
 			available++
 		}
 	}
-	f.Ledger.judgeBudget(w.service, available)
+	f.Ledger.checkBudget(w.service, available)
 }
 
-// Do carries out an order on a worker.
+// Do carries out an order on a worker. An order that was carried out before has no effect,
+// and one with an outdated fence is refused.
 func (f *Fleet) Do(instance string, fence uint64, order jayplatform.Order) error {
 	w, ok := f.Worker(instance)
 	if !ok {
 		return fmt.Errorf("%w: no worker %s", jayplatform.ErrRefused, instance)
 	}
-	again, err := w.do(order, fence)
+	again, err := w.checkFence(order, fence)
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", jayplatform.ErrRefused, instance, err)
 	}
@@ -272,20 +284,20 @@
 	}
 	switch a := order.(type) {
 	case jayplatform.Drain:
-		f.noteDrain()
+		f.recordDrain()
 		w.setDraining(true)
 	case jayplatform.Undrain:
 		w.setDraining(false)
 	case jayplatform.Reboot:
 		w.stop(true)
-		f.Ledger.count(func(c *Counters) { c.Reboots++ })
-		time.AfterFunc(f.rebootTime, func() { f.reviveAfterReboot(instance) })
+		f.Ledger.update(func(c *Counters) { c.Reboots++ })
+		time.AfterFunc(f.rebootTime, func() { f.restartAfterReboot(instance) })
 	case jayplatform.StartTask:
 		w.startTask(a, fence)
 	case jayplatform.StopTask:
 		w.stopTask(a, fence)
 	}
-	f.noteWorker(w)
+	f.publishWorker(w)
 	return nil
 }
 
--- a/jaystandin/ledger_test.go
+++ b/jaystandin/ledger_test.go
@@ -10,17 +10,16 @@
 	"jaythread/jayplatform"
 )
 
-// The ledger is the judge of the demo: each of its counters must be able to
-// see what it looks for.
+// The demo's checks rely on the ledger, so each counter has to detect its violation.
 
-func TestLedgerSeesBrokenPromises(t *testing.T) {
+func TestLedgerCountsViolations(t *testing.T) {
 	t.Run("a key that runs twice", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLedger()
-		l.ran("a", "key")
-		l.ran("b", "other")
+		l.recordRun("a", "key")
+		l.recordRun("b", "other")
 		is.Equal(l.Counters().DoubledRuns, 0)
-		l.ran("c", "key")
+		l.recordRun("c", "key")
 		is.Equal(l.Counters().DoubledRuns, 1)
 	})
 	t.Run("a pool below its minimum, once until it holds again", func(t *testing.T) {
@@ -28,28 +27,28 @@
 		l := NewLedger()
 		l.SetMinimum("seats", 7)
 		for _, available := range []int{7, 6, 5, 7, 6} {
-			l.judgeBudget("seats", available)
+			l.checkBudget("seats", available)
 		}
 		is.Equal(l.Counters().BudgetBreaches, 2)
 	})
 	t.Run("a worker of two pools at once, or back in one that it left", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLedger()
-		l.enterPool("w", "seats")
-		l.leavePool("w")
-		l.enterPool("w", "fees") // a proper move
+		l.recordRequestStart("w", "seats")
+		l.recordRequestEnd("w")
+		l.recordRequestStart("w", "fees") // a move without overlap
 		is.Equal(l.Counters().PoolOverlaps, 0)
-		l.enterPool("w", "seats") // while fees is in flight
+		l.recordRequestStart("w", "seats") // while a request of fees is in flight
 		is.Equal(l.Counters().PoolOverlaps, 1)
 	})
 	t.Run("a task on two workers", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLedger()
-		l.startTask("index/0", "a")
-		l.stopTask("index/0", "a")
-		l.startTask("index/0", "b")
+		l.recordTaskStart("index/0", "a")
+		l.recordTaskStop("index/0", "a")
+		l.recordTaskStart("index/0", "b")
 		is.Equal(l.Counters().TaskOverlaps, 0)
-		l.startTask("index/0", "c")
+		l.recordTaskStart("index/0", "c")
 		is.Equal(l.Counters().TaskOverlaps, 1)
 		is.Equal(l.Counters().JobMoves, 2)
 	})
--- a/jaystandin/logservice.go
+++ b/jaystandin/logservice.go
@@ -1,7 +1,7 @@
-// Package jaystandin holds small stand-ins of the platform for tests, the demo
-// and trials: a log service, an instance list and workers, with faults that can
-// be switched. They count what they see, so that promises are checked by what
-// upstreams saw and not by what the system says about itself.
+// Package jaystandin simulates the platform for tests, the demo and trials: a log service,
+// an instance list and workers, with fault injection. It counts the requests and orders
+// that arrive, so that the system's guarantees are checked against what its upstreams
+// observed and not against what the system reports about itself.
 package jaystandin
 
 import (
@@ -12,34 +12,39 @@
 	"jaythread/jayplatform"
 )
 
-// Errors of the log stand-in.
+// Errors of the simulated log service.
 var (
 	errLogDown = errors.New("log service is down")
 	errExpired = errors.New("offset has expired")
 )
 
-// LogFaults are the faults of the log service.
+// LogFaults are the faults injected into the log service.
 type LogFaults struct {
+	// Down makes every append and read fail.
 	Down bool `json:"down"`
-	// Delay is added to each append and read.
+	// Delay is the time added to every append and read.
 	Delay time.Duration `json:"delayNanos"`
-	// LoseAnswers makes the next appends take effect without an answer.
+	// LoseAnswers is the number of next appends that take effect but return an error, as
+	// if their answers were lost.
 	LoseAnswers int `json:"loseAnswers"`
 }
 
-// LogService is a log service in memory. It implements jayplatform.Log.
+// LogService is an in-memory log service. It implements jayplatform.Log.
 type LogService struct {
 	mu      sync.Mutex
 	streams map[string]*stream
 	faults  LogFaults
+	// appends counts the appended records by stream.
 	appends map[string]int
 	now     func() time.Time
 }
 
 type stream struct {
+	// first is the offset of the oldest record kept.
 	first   uint64
 	records []jayplatform.Record
-	grown   chan struct{}
+	// appended is closed by the next append and then replaced.
+	appended chan struct{}
 }
 
 // NewLogService returns an empty log service.
@@ -47,21 +52,21 @@
 	return &LogService{streams: map[string]*stream{}, appends: map[string]int{}, now: time.Now}
 }
 
-// SetFaults switches the faults.
+// SetFaults replaces the injected faults.
 func (l *LogService) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Appends returns how many appends a stream took.
+// Appends returns the number of records appended to a stream.
 func (l *LogService) Appends(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends[name]
 }
 
-// Expire drops the records of a stream before an offset.
+// Expire drops the records of a stream before the given offset.
 func (l *LogService) Expire(name string, before uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +77,7 @@
 	}
 }
 
-// Append adds a record to a stream.
+// Append appends a record to a stream and returns its offset.
 func (l *LogService) Append(name string, record []byte) (uint64, error) {
 	l.mu.Lock()
 	faults := l.faults
@@ -90,8 +95,8 @@
 	data := append([]byte(nil), record...)
 	s.records = append(s.records, jayplatform.Record{Offset: offset, UnixMillis: l.now().UnixMilli(), Data: data})
 	l.appends[name]++
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	if l.faults.LoseAnswers > 0 {
 		l.faults.LoseAnswers--
 		return 0, errors.Join(jayplatform.ErrUnavailable, errLogDown)
@@ -99,20 +104,21 @@
 	return offset, nil
 }
 
-// Read returns records from an offset on.
+// Read returns records of a stream starting at an offset. If there are none yet, it waits
+// for the next append for at most the given time.
 func (l *LogService) Read(name string, from uint64, wait time.Duration) (jayplatform.Page, error) {
 	deadline := time.Now().Add(wait)
 	for {
-		page, grown, err := l.peek(name, from)
+		page, grown, err := l.readPage(name, from)
 		left := time.Until(deadline)
 		if err != nil || len(page.Records) > 0 || left <= 0 {
 			return page, err
 		}
-		awaitGrowth(grown, left)
+		waitForAppend(grown, left)
 	}
 }
 
-func awaitGrowth(grown <-chan struct{}, d time.Duration) {
+func waitForAppend(grown <-chan struct{}, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -121,9 +127,12 @@
 	}
 }
 
+// maxPageRecords is the largest number of records in a page.
 const maxPageRecords = 1000
 
-func (l *LogService) peek(name string, from uint64) (jayplatform.Page, <-chan struct{}, error) {
+// readPage returns the records that exist from an offset on, and a channel that is closed by
+// the next append.
+func (l *LogService) readPage(name string, from uint64) (jayplatform.Page, <-chan struct{}, error) {
 	l.mu.Lock()
 	delay := l.faults.Delay
 	l.mu.Unlock()
@@ -145,13 +154,13 @@
 		rest := s.records[from-s.first:]
 		page.Records = append(page.Records, rest[:min(len(rest), maxPageRecords)]...)
 	}
-	return page, s.grown, nil
+	return page, s.appended, nil
 }
 
 func (l *LogService) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
-		s = &stream{grown: make(chan struct{})}
+		s = &stream{appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
--- a/jaystandin/server.go
+++ b/jaystandin/server.go
@@ -13,24 +13,24 @@
 	"jaythread/jayplatform"
 )
 
-// Platform is the whole stand-in: log service, instance list and workers.
+// Platform is the simulated platform: a log service, an instance list and workers.
 type Platform struct {
 	Log   *LogService
 	Fleet *Fleet
 }
 
-// Serve answers the platform's HTTP interface on a listener until it closes.
+// Serve serves the platform's HTTP API on a listener until the listener is closed.
 func (p *Platform) Serve(listener net.Listener) error {
 	server := &fasthttp.Server{
 		Handler:               p.Handle,
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    64 << 20,
-		Logger:                silentLogger{},
+		Logger:                discardLogger{},
 	}
 	return server.Serve(listener)
 }
 
-// Handle answers one request of the platform's HTTP interface.
+// Handle handles one request to the platform's HTTP API.
 func (p *Platform) Handle(ctx *fasthttp.RequestCtx) {
 	parts := strings.Split(strings.Trim(string(ctx.Path()), "/"), "/")
 	switch {
@@ -41,12 +41,12 @@
 	case len(parts) == 1 && parts[0] == "instances" && ctx.IsPost():
 		p.handleEntry(ctx)
 	case len(parts) == 1 && parts[0] == "instances":
-		changes, err := p.Fleet.Since(number(ctx, "since"), wait(ctx))
-		answer(ctx, changes, err)
+		changes, err := p.Fleet.Since(queryNumber(ctx, "since"), queryWait(ctx))
+		respond(ctx, changes, err)
 	case len(parts) == 3 && parts[0] == "instances" && ctx.IsPost():
 		p.handleOrder(ctx, parts[1], parts[2])
 	case len(parts) == 1 && parts[0] == "counters":
-		answer(ctx, p.Fleet.Ledger.Counters(), nil)
+		respond(ctx, p.Fleet.Ledger.Counters(), nil)
 	case len(parts) == 2 && parts[0] == "faults" && ctx.IsPost():
 		p.handleFaults(ctx, parts[1])
 	case len(parts) == 3 && parts[0] == "faults" && ctx.IsPost():
@@ -58,20 +58,20 @@
 
 func (p *Platform) handleAppend(ctx *fasthttp.RequestCtx, stream string) {
 	offset, err := p.Log.Append(stream, ctx.PostBody())
-	answer(ctx, map[string]uint64{"offset": offset}, err)
+	respond(ctx, map[string]uint64{"offset": offset}, err)
 }
 
 func (p *Platform) handleRead(ctx *fasthttp.RequestCtx, stream string) {
-	page, err := p.Log.Read(stream, number(ctx, "from"), wait(ctx))
+	page, err := p.Log.Read(stream, queryNumber(ctx, "from"), queryWait(ctx))
 	if errors.Is(err, jayplatform.ErrExpired) {
-		answer(ctx, page, nil)
+		respond(ctx, page, nil)
 		ctx.SetStatusCode(fasthttp.StatusGone)
 		return
 	}
-	answer(ctx, page, err)
+	respond(ctx, page, err)
 }
 
-// handleEntry lets the operator of a trial register an entry instance; a real
+// handleEntry registers an entry instance on behalf of the operator of a trial. A real
 // platform knows its instances itself.
 func (p *Platform) handleEntry(ctx *fasthttp.RequestCtx) {
 	var i jayplatform.Instance
@@ -79,19 +79,19 @@
 	if err == nil {
 		p.Fleet.SetEntry(i)
 	}
-	answer(ctx, i, refused(err))
+	respond(ctx, i, asRefused(err))
 }
 
 func (p *Platform) handleOrder(ctx *fasthttp.RequestCtx, instance, name string) {
 	order, err := parseOrder(name, ctx.PostBody())
 	if err == nil {
-		err = p.Fleet.Do(instance, number(ctx, "fence"), order)
+		err = p.Fleet.Do(instance, queryNumber(ctx, "fence"), order)
 	}
-	answer(ctx, struct{}{}, err)
+	respond(ctx, struct{}{}, err)
 }
 
-// handleFaults switches the faults of the log service, or kills or revives a
-// rack's or one worker named by the query.
+// handleFaults sets the faults of the log service, drops old records of a stream, or kills
+// or restarts the worker named in the query.
 func (p *Platform) handleFaults(ctx *fasthttp.RequestCtx, what string) {
 	worker := string(ctx.QueryArgs().Peek("worker"))
 	switch what {
@@ -101,15 +101,15 @@
 		if err == nil {
 			p.Log.SetFaults(f)
 		}
-		answer(ctx, f, refused(err))
+		respond(ctx, f, asRefused(err))
 	case "kill":
 		p.Fleet.Kill(worker)
-		answer(ctx, struct{}{}, nil)
+		respond(ctx, struct{}{}, nil)
 	case "expire":
-		p.Log.Expire(string(ctx.QueryArgs().Peek("stream")), number(ctx, "before"))
-		answer(ctx, struct{}{}, nil)
+		p.Log.Expire(string(ctx.QueryArgs().Peek("stream")), queryNumber(ctx, "before"))
+		respond(ctx, struct{}{}, nil)
 	case "revive":
-		answer(ctx, struct{}{}, refused(p.Fleet.Revive(worker)))
+		respond(ctx, struct{}{}, asRefused(p.Fleet.Revive(worker)))
 	default:
 		ctx.Error("faults are log, expire, kill, revive, worker/ID", fasthttp.StatusNotFound)
 	}
@@ -126,7 +126,7 @@
 	if err == nil {
 		w.SetFaults(f)
 	}
-	answer(ctx, f, refused(err))
+	respond(ctx, f, asRefused(err))
 }
 
 func parseOrder(name string, body []byte) (jayplatform.Order, error) {
@@ -139,32 +139,32 @@
 		return jayplatform.Reboot{}, nil
 	case "startTask":
 		var a jayplatform.StartTask
-		return a, refused(json.Unmarshal(body, &a))
+		return a, asRefused(json.Unmarshal(body, &a))
 	case "stopTask":
 		var a jayplatform.StopTask
-		return a, refused(json.Unmarshal(body, &a))
+		return a, asRefused(json.Unmarshal(body, &a))
 	default:
 		return nil, errors.Join(jayplatform.ErrRefused, errors.New("no such order: "+name))
 	}
 }
 
-func refused(err error) error {
+func asRefused(err error) error {
 	if err == nil {
 		return nil
 	}
 	return errors.Join(jayplatform.ErrRefused, err)
 }
 
-func number(ctx *fasthttp.RequestCtx, name string) uint64 {
+func queryNumber(ctx *fasthttp.RequestCtx, name string) uint64 {
 	n, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek(name)), 10, 64)
 	return n
 }
 
-func wait(ctx *fasthttp.RequestCtx) time.Duration {
-	return time.Duration(number(ctx, "waitMillis")) * time.Millisecond
+func queryWait(ctx *fasthttp.RequestCtx) time.Duration {
+	return time.Duration(queryNumber(ctx, "waitMillis")) * time.Millisecond
 }
 
-func answer(ctx *fasthttp.RequestCtx, body any, err error) {
+func respond(ctx *fasthttp.RequestCtx, body any, err error) {
 	if err != nil {
 		status := fasthttp.StatusServiceUnavailable
 		if errors.Is(err, jayplatform.ErrRefused) {
--- a/jaystandin/worker.go
+++ b/jaystandin/worker.go
@@ -15,36 +15,36 @@
 	"jaythread/jayverdict"
 )
 
-// Headers of the stand-in's data plane.
+// Headers of requests to a worker.
 const (
 	HeaderRequestID = "X-Request-Id"
-	// HeaderAttempt names one sending of a request; a resend has another.
+	// HeaderAttempt is the ID of one attempt to send a request. Each retry has a new one.
 	HeaderAttempt = "X-Attempt-Id"
 	HeaderKey     = "Idempotency-Key"
 	HeaderPool    = "Jaythread-Pool"
-	// HeaderSize asks the worker for an answer of so many bytes.
+	// HeaderSize is the size in bytes that the worker's response should have.
 	HeaderSize = "X-Answer-Bytes"
 )
 
-// WorkerFaults are the faults of one worker.
+// WorkerFaults are the faults injected into one worker.
 type WorkerFaults struct {
-	// Slow multiplies the service time; zero is one.
+	// Slow is the factor by which the service time is multiplied. Zero means one.
 	Slow float64 `json:"slow"`
-	// Silent makes the worker take requests and never answer.
+	// Silent makes the worker accept requests and never respond.
 	Silent bool `json:"silent"`
-	// CutAnswers makes the worker run a request and close before the answer
-	// is whole.
+	// CutAnswers makes the worker run a request and close the connection in the middle of
+	// the response.
 	CutAnswers bool `json:"cutAnswers"`
-	// Refuse makes the worker refuse each request as not run.
+	// Refuse makes the worker reject every request with the verdict that it was not run.
 	Refuse bool `json:"refuse"`
-	// FailStarts makes every task fail.
+	// FailStarts makes every task fail at its start.
 	FailStarts bool `json:"failStarts"`
-	// RunTwice makes the worker run each request twice: a broken promise on
-	// purpose, to show that the checks can fail.
+	// RunTwice makes the worker run every request twice. This violates a guarantee on
+	// purpose, to show that the checks detect it.
 	RunTwice bool `json:"runTwice"`
 }
 
-// Worker is one upstream instance.
+// Worker is a simulated upstream instance with an HTTP server.
 type Worker struct {
 	spec        jayplatform.Instance
 	service     string
@@ -60,14 +60,18 @@
 	faults   WorkerFaults
 	listener net.Listener
 	server   *fasthttp.Server
-	fences   map[string]uint64
-	tasks    map[string]jayplatform.TaskReport
-	leaving  time.Time
-	stopped  chan struct{}
+	// fences are the fences of the last orders, by the kind of order and its task.
+	fences map[string]uint64
+	tasks  map[string]jayplatform.TaskReport
+	// drainingSince is when the worker was told to drain, or zero.
+	drainingSince time.Time
+	// stopped is closed when the worker stops.
+	stopped chan struct{}
+	// onChange is called when a draining worker has finished its last request.
 	onChange func()
 }
 
-// SetFaults switches the worker's faults.
+// SetFaults replaces the worker's injected faults.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,8 +85,8 @@
 	return net.Listen("tcp4", w.spec.Addr)
 }
 
-// start opens the worker's listener. The first start takes a free port; a
-// later one takes the same again.
+// start opens the worker's listener and serves requests. The first start uses a free port,
+// and later ones use the same port again.
 func (w *Worker) start() error {
 	listener, err := w.listen()
 	if err != nil {
@@ -98,36 +102,38 @@
 		NoDefaultDate:                true,
 		MaxRequestBodySize:           64 << 20,
 		DisablePreParseMultipartForm: true,
-		Logger:                       silentLogger{},
+		Logger:                       discardLogger{},
 	}
 	server := w.server
 	w.mu.Unlock()
 	w.draining.Store(false)
 	w.up.Store(true)
 	go func() {
-		// Serve ends when the listener is closed by stop.
+		// Serve returns when stop closes the listener.
 		_ = server.Serve(listener)
 	}()
 	return nil
 }
 
-type silentLogger struct{}
+// discardLogger discards the messages of the HTTP server.
+type discardLogger struct{}
 
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// stop closes the worker. Planned stops count the requests that they cut.
+// stop stops the worker with its tasks. If the stop is planned, the requests that it
+// interrupts are counted.
 func (w *Worker) stop(planned bool) {
 	if !w.up.Swap(false) {
 		return
 	}
 	if cut := w.inFlight.Load(); planned && cut > 0 {
-		w.ledger.count(func(c *Counters) { c.CutByStop += int(cut) })
+		w.ledger.update(func(c *Counters) { c.CutByStop += int(cut) })
 	}
 	w.mu.Lock()
 	close(w.stopped)
 	listener, server := w.listener, w.server
 	for name := range w.tasks {
-		w.ledger.stopTask(name, w.spec.ID)
+		w.ledger.recordTaskStop(name, w.spec.ID)
 	}
 	w.tasks = map[string]jayplatform.TaskReport{}
 	w.mu.Unlock()
@@ -137,10 +143,10 @@
 
 func (w *Worker) serve(ctx *fasthttp.RequestCtx) {
 	w.mu.Lock()
-	faults, stopped, leaving := w.faults, w.stopped, w.leaving
+	faults, stopped, leaving := w.faults, w.stopped, w.drainingSince
 	w.mu.Unlock()
-	if w.draining.Load() && !leaving.IsZero() && time.Since(leaving) > leaveBound {
-		w.ledger.count(func(c *Counters) { c.LateWork++ })
+	if w.draining.Load() && !leaving.IsZero() && time.Since(leaving) > drainGrace {
+		w.ledger.update(func(c *Counters) { c.LateWork++ })
 	}
 	if w.draining.Load() || faults.Refuse || !w.up.Load() {
 		ctx.SetConnectionClose()
@@ -148,19 +154,19 @@
 		return
 	}
 	if n := w.inFlight.Add(1); int(n) > w.slots {
-		w.release()
-		w.ledger.count(func(c *Counters) { c.SlotOverruns++ })
+		w.releaseSlot()
+		w.ledger.update(func(c *Counters) { c.SlotOverruns++ })
 		w.refuse(ctx, "no slot")
 		return
 	}
-	defer w.release()
+	defer w.releaseSlot()
 	pool := string(ctx.Request.Header.Peek(HeaderPool))
-	w.ledger.enterPool(w.spec.ID, pool)
-	defer w.ledger.leavePool(w.spec.ID)
+	w.ledger.recordRequestStart(w.spec.ID, pool)
+	defer w.ledger.recordRequestEnd(w.spec.ID)
 	w.run(ctx, faults, stopped)
 }
 
-func (w *Worker) release() {
+func (w *Worker) releaseSlot() {
 	if w.inFlight.Add(-1) == 0 && w.draining.Load() {
 		w.onChange()
 	}
@@ -176,16 +182,16 @@
 	id := string(ctx.Request.Header.Peek(HeaderRequestID))
 	key := string(ctx.Request.Header.Peek(HeaderKey))
 	attempt := string(ctx.Request.Header.Peek(HeaderAttempt))
-	w.ledger.ran(attempt, key)
+	w.ledger.recordRun(attempt, key)
 	if faults.RunTwice {
-		w.ledger.ran(attempt, key)
+		w.ledger.recordRun(attempt, key)
 	}
 	if faults.Silent {
 		<-stopped
 		return
 	}
-	if !w.work(faults, stopped) || faults.CutAnswers {
-		w.cut(ctx)
+	if !w.waitServiceTime(faults, stopped) || faults.CutAnswers {
+		w.cutResponse(ctx)
 		return
 	}
 	size, _ := fasthttp.ParseUint(ctx.Request.Header.Peek(HeaderSize))
@@ -194,8 +200,9 @@
 	ctx.SetBodyString(Answer(id, ctx.Request.Body(), size))
 }
 
-// work takes the service time; it returns false if the worker was stopped.
-func (w *Worker) work(faults WorkerFaults, stopped <-chan struct{}) bool {
+// waitServiceTime waits for the service time of a request. It returns false if the worker
+// was stopped meanwhile.
+func (w *Worker) waitServiceTime(faults WorkerFaults, stopped <-chan struct{}) bool {
 	d := w.serviceTime
 	if faults.Slow > 0 {
 		d = time.Duration(float64(d) * faults.Slow)
@@ -210,8 +217,8 @@
 	}
 }
 
-// cut closes the connection in the middle of an answer.
-func (w *Worker) cut(ctx *fasthttp.RequestCtx) {
+// cutResponse closes the connection in the middle of a response.
+func (w *Worker) cutResponse(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) {
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\npart"))
@@ -219,8 +226,8 @@
 	})
 }
 
-// Answer is what a worker answers to a request, so that a caller can tell
-// whether it got the whole answer to its own request.
+// Answer returns the body of a worker's response to a request. From it, a caller can tell
+// whether it got the complete response to its own request.
 func Answer(id string, body []byte, size int) string {
 	head := fmt.Sprintf("id=%s body=%d ", id, len(body))
 	if size <= len(head) {
@@ -229,12 +236,13 @@
 	return head + strings.Repeat("x", size-len(head))
 }
 
-// do carries out an order of the platform. An order with a lower fence than the
-// last one of its kind is refused; one with the same is done already.
-func (w *Worker) do(order jayplatform.Order, fence uint64) (again bool, err error) {
+// checkFence checks the fence of an order and records it. An order with a lower fence than
+// the last one of its kind is an error. For an order that was carried out before, or whose
+// task was stopped since, it returns true: the order must not be carried out again.
+func (w *Worker) checkFence(order jayplatform.Order, fence uint64) (again bool, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	name := fenceName(order)
+	name := fenceKey(order)
 	last, seen := w.fences[name]
 	if seen && fence < last {
 		return false, fmt.Errorf("fence %d is below %d", fence, last)
@@ -242,20 +250,20 @@
 	if seen && fence == last {
 		return true, nil
 	}
-	if start, ok := order.(jayplatform.StartTask); ok && w.stoppedAt(start) >= fence {
+	if start, ok := order.(jayplatform.StartTask); ok && w.stopFence(start) >= fence {
 		return true, nil
 	}
 	w.fences[name] = fence
 	return false, nil
 }
 
-// stoppedAt returns the fence of the last stop of a task. A start that comes after the
-// stop of the same placement starts nothing.
-func (w *Worker) stoppedAt(start jayplatform.StartTask) uint64 {
-	return w.fences[fenceName(jayplatform.StopTask(start))]
+// stopFence returns the fence of the last order to stop a task. A start that arrives after
+// the stop of the same placement must not start the task.
+func (w *Worker) stopFence(start jayplatform.StartTask) uint64 {
+	return w.fences[fenceKey(jayplatform.StopTask(start))]
 }
 
-func fenceName(order jayplatform.Order) string {
+func fenceKey(order jayplatform.Order) string {
 	switch a := order.(type) {
 	case jayplatform.StartTask:
 		return fmt.Sprintf("start %s/%d", a.Job, a.Replica)
@@ -268,9 +276,9 @@
 
 func (w *Worker) setDraining(on bool) {
 	w.mu.Lock()
-	w.leaving = time.Time{}
+	w.drainingSince = time.Time{}
 	if on {
-		w.leaving = time.Now()
+		w.drainingSince = time.Now()
 	}
 	w.mu.Unlock()
 	w.draining.Store(on)
@@ -286,7 +294,7 @@
 		w.tasks[name] = report
 		return
 	}
-	w.ledger.startTask(name, w.spec.ID)
+	w.ledger.recordTaskStart(name, w.spec.ID)
 	w.tasks[name] = report
 }
 
@@ -294,7 +302,7 @@
 	name := fmt.Sprintf("%s/%d", a.Job, a.Replica)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ledger.stopTask(name, w.spec.ID)
+	w.ledger.recordTaskStop(name, w.spec.ID)
 	report, known := w.tasks[name]
 	if !known {
 		report = jayplatform.TaskReport{Job: a.Job, Replica: a.Replica, Fence: fence}
