--- a/jaysoak/callers_test.go
+++ b/jaysoak/callers_test.go
@@ -12,29 +12,35 @@
 )
 
 const (
+	// callTimeout is the time limit of a call to an entry.
 	callTimeout = 3 * time.Second
-	// visibleAfter is how long after its acceptance a job may be unknown.
-	visibleAfter = 3 * time.Second
-	triesOfJob   = 6
-	retryPause   = 250 * time.Millisecond
+	// visibilityDelay is how long a job may be unknown after it was accepted.
+	visibilityDelay = 3 * time.Second
+	// submitAttempts is the largest number of attempts to submit a job.
+	submitAttempts = 6
+	// retryPause is the pause between these attempts.
+	retryPause = 250 * time.Millisecond
 )
 
-// job is what a caller knows of one job.
+// job is a caller's view of a job.
 type job struct {
-	id       string
-	path     string
+	id   string
+	path string
+	// accepted is when the job was accepted, or zero.
 	accepted time.Time
-	// refused says that every try was rejected as not run.
+	// refused says that every attempt to submit the job was rejected as not run.
 	refused   bool
 	cancelled bool
-	// crashes says that a task of the job crashes its workers, tasks is how many it has.
+	// crashes says that a task of the job crashes its workers.
 	crashes bool
-	tasks   int
-	state   string
+	// tasks is the number of the job's tasks.
+	tasks int
+	// state is the state that was last shown to the caller.
+	state string
 }
 
-// callers hand jobs in, ask for them and cancel some. They keep connections
-// open until the process behind them is gone.
+// callers submit jobs, query them and cancel some of them. They keep connections open until
+// the process at the other end has exited.
 type callers struct {
 	soak   *soak
 	client *http.Client
@@ -47,11 +53,12 @@
 	return &callers{soak: s, client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 }
 
-// call returns the status, or zero for no answer.
+// call sends a request to an entry. It returns the status and the body of the response, or
+// zero if there is no complete response.
 func (c *callers) call(p *process, method, path string, body []byte) (int, string) {
 	request, err := http.NewRequest(method, "http://"+p.caller+path, bytes.NewReader(body))
 	if err != nil {
-		c.soak.broken("soak", err.Error())
+		c.soak.fail("soak", err.Error())
 		return 0, ""
 	}
 	request.Host = "a.example"
@@ -68,11 +75,12 @@
 	return response.StatusCode, string(text)
 }
 
-// oneCrashes is how many jobs there are for one that crashes its workers.
-const oneCrashes = 25
+// crashingJobRatio is the mean number of jobs per job that crashes its workers.
+const crashingJobRatio = 25
 
-// body is a job of one to three steps of one to four tasks.
-func (c *callers) body(j *job, r *rand.Rand) []byte {
+// jobBody returns the declaration of a random job with one to three steps of one to four
+// tasks each.
+func (c *callers) jobBody(j *job, r *rand.Rand) []byte {
 	var steps []any
 	for n := range 1 + r.IntN(3) {
 		step := map[string]any{"count": 1 + r.IntN(4), "cpu": 1000, "memMb": 100, "estMs": 100}
@@ -83,7 +91,7 @@
 		steps = append(steps, step)
 	}
 	spec := fmt.Sprint(30+r.IntN(300), "ms")
-	if c.soak.scenario.crashing() && r.IntN(oneCrashes) == 0 {
+	if c.soak.scenario.crashing() && r.IntN(crashingJobRatio) == 0 {
 		j.crashes = true
 		spec += fmt.Sprintf(" crash=0@%dms", r.IntN(30))
 	}
@@ -91,8 +99,8 @@
 	return text
 }
 
-// crashed counts the workers that jobs have crashed.
-func (c *callers) crashed() int {
+// crashedWorkers returns how many workers were crashed by jobs.
+func (c *callers) crashedWorkers() int {
 	count := 0
 	for _, j := range c.jobs {
 		count += c.soak.platform.Judge.Crashes(j.id)
@@ -100,15 +108,15 @@
 	return count
 }
 
-// live hands one job in, watches it for a while and may cancel it.
-func (c *callers) live(number int, r *rand.Rand) {
+// runJob submits a job, may cancel it, and then checks its state several times.
+func (c *callers) runJob(number int, r *rand.Rand) {
 	j := &job{id: fmt.Sprintf("%016x", number), refused: true}
 	j.path = []string{"/seats/", "/fees/"}[r.IntN(2)] + j.id
 	c.mu.Lock()
 	c.jobs = append(c.jobs, j)
 	c.mu.Unlock()
-	text := c.body(j, r)
-	for range triesOfJob {
+	text := c.jobBody(j, r)
+	for range submitAttempts {
 		status, _ := c.call(c.soak.anyEntry(r), "POST", j.path, text)
 		if status == http.StatusOK {
 			j.accepted, j.refused = time.Now(), false
@@ -125,22 +133,23 @@
 	if r.IntN(8) == 0 {
 		status, _ := c.call(c.soak.anyEntry(r), "DELETE", j.path, nil)
 		j.cancelled = true
-		if status == http.StatusGone && time.Since(j.accepted) > visibleAfter {
-			c.soak.broken("lost", j.id+" is unknown when it is cancelled")
+		if status == http.StatusGone && time.Since(j.accepted) > visibilityDelay {
+			c.soak.fail("lost", j.id+" is unknown when it is cancelled")
 		}
 	}
 	for range 4 {
 		time.Sleep(time.Duration(100+r.IntN(500)) * time.Millisecond)
-		c.look(j, c.soak.anyEntry(r))
+		c.checkState(j, c.soak.anyEntry(r))
 	}
 }
 
-// look asks for a job's state and checks it against what was said before.
-func (c *callers) look(j *job, p *process) bool {
+// checkState queries a job's state and checks it against earlier answers and against the
+// runs of its tasks. It reports whether the job has ended.
+func (c *callers) checkState(j *job, p *process) bool {
 	asked := time.Now()
 	status, text := c.call(p, "GET", j.path, nil)
-	if status == http.StatusGone && asked.Sub(j.accepted) > visibleAfter {
-		c.soak.broken("lost", j.id+" was accepted and is unknown to "+p.name)
+	if status == http.StatusGone && asked.Sub(j.accepted) > visibilityDelay {
+		c.soak.fail("lost", j.id+" was accepted and is unknown to "+p.name)
 	}
 	if status != http.StatusOK {
 		return false
@@ -149,31 +158,31 @@
 		State string `json:"state"`
 	}
 	if err := json.Unmarshal([]byte(text), &answer); err != nil {
-		c.soak.broken("answer", j.id+": "+text)
+		c.soak.fail("answer", j.id+": "+text)
 		return false
 	}
 	if j.state == "done" && answer.State != "done" {
-		c.soak.broken("mixed", j.id+" was shown as done and is now "+answer.State)
+		c.soak.fail("mixed", j.id+" was shown as done and is now "+answer.State)
 	}
 	if answer.State == "failed" && !j.crashes || answer.State == "canceled" && !j.cancelled {
-		c.soak.broken("lost", j.id+" is shown as "+answer.State+" without cause")
+		c.soak.fail("lost", j.id+" is shown as "+answer.State+" without cause")
 	}
 	if finished := c.soak.platform.Judge.Finished(j.id); answer.State == "done" && finished < j.tasks {
-		c.soak.broken("mixed", fmt.Sprintf("%s is shown as done, %d of its %d tasks have ended so", j.id, finished, j.tasks))
+		c.soak.fail("mixed", fmt.Sprintf("%s is shown as done, %d of its %d tasks have ended so", j.id, finished, j.tasks))
 	}
 	j.state = answer.State
 	return answer.State == "done" || answer.State == "canceled" || answer.State == "failed"
 }
 
-// finish waits until each accepted job has ended, and checks that none ran that
-// was rejected.
-func (c *callers) finish(within time.Duration, r *rand.Rand) (accepted, refused int) {
+// awaitEnds waits until every accepted job has ended, and checks that no rejected job was
+// run. It returns the numbers of accepted and rejected jobs.
+func (c *callers) awaitEnds(within time.Duration, r *rand.Rand) (accepted, refused int) {
 	until := time.Now().Add(within)
 	for _, j := range c.jobs {
 		if j.refused {
 			refused++
 			if c.soak.platform.Judge.Begun(j.id) {
-				c.soak.broken("refused", j.id+" was rejected at every try and has run")
+				c.soak.fail("refused", j.id+" was rejected at every try and has run")
 			}
 			continue
 		}
@@ -181,9 +190,9 @@
 			continue
 		}
 		accepted++
-		for !c.look(j, c.soak.anyEntry(r)) {
+		for !c.checkState(j, c.soak.anyEntry(r)) {
 			if time.Now().After(until) {
-				c.soak.broken("finish", j.id+" has not ended: "+j.state)
+				c.soak.fail("finish", j.id+" has not ended: "+j.state)
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/jaysoak/doc.go
+++ b/jaysoak/doc.go
@@ -1,4 +1,4 @@
-// Package jaysoak is the project's fault soak. Its tests run the real program
-// as separate processes on one machine, inject faults from outside, and check
-// the promises from what callers and workers see. See docs/SOAK.md.
+// Package jaysoak holds the soak test. It runs the program as separate processes on one
+// machine, injects faults from outside, and checks the system's guarantees against what
+// callers and workers observe. See docs/SOAK.md.
 package jaysoak
--- a/jaysoak/entry_test.go
+++ b/jaysoak/process_test.go
@@ -15,22 +15,28 @@
 	"jaythread/platform/jaystub"
 )
 
-// process is one entry, run as a process of its own. Only processes that the
-// soak has started are ever signalled.
+// process is an entry that runs as a separate process. Signals are sent only to processes
+// that the soak test has started.
 type process struct {
 	name   string
 	binary string
+	// config is the path of the configuration file.
 	config string
-	log    string
+	// log is the path of the log file.
+	log string
+	// caller is the address for callers.
 	caller string
-	store  *proxy
+	// store is the proxy between the process and the store.
+	store *proxy
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
+	mu sync.Mutex
+	// cmd is nil while the process does not run.
+	cmd *exec.Cmd
+	// done is closed when the process has exited.
 	done chan struct{}
 }
 
-// stopBound is how long a graceful stop of these settings may take.
+// stopBound is the time limit of a graceful stop in the settings of the processes.
 const stopBound = 3 * time.Second
 
 func newProcess(t *testing.T, dir, binary, name string, platform *jaystub.Platform) *process {
@@ -71,7 +77,7 @@
 	return addr
 }
 
-// start runs the process unless it runs.
+// start starts the process unless it is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,8 +106,8 @@
 	return nil
 }
 
-// signal sends a signal to the process if it runs, and returns what is closed
-// when it has ended.
+// signal sends a signal to the process if it is running. It returns a channel that is closed
+// when the process has exited.
 func (p *process) signal(s syscall.Signal) <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,15 +117,15 @@
 	return p.done
 }
 
-// replace ends the process by a signal and starts it again after a pause. One
-// that does not end by itself in time is killed; that is reported.
-func (p *process) replace(s syscall.Signal, pause time.Duration) error {
+// restart stops the process with a signal and starts it again after a pause. A process that
+// does not exit in time is killed, and restart returns an error.
+func (p *process) restart(s syscall.Signal, pause time.Duration) error {
 	ended := p.signal(s)
 	var late error
 	select {
 	case <-ended:
 	case <-time.After(stopBound + 2*time.Second):
-		late = fmt.Errorf("%s did not end within its bound after %s", p.name, s)
+		late = fmt.Errorf("%s did not exit in time after signal %s", p.name, s)
 		<-p.signal(syscall.SIGKILL)
 	}
 	time.Sleep(pause)
@@ -129,8 +135,8 @@
 	return late
 }
 
-// end kills the process for good.
-func (p *process) end() {
+// kill kills the process and closes its proxy.
+func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	if done := p.signal(syscall.SIGKILL); done != nil {
 		<-done
--- a/jaysoak/proxy_test.go
+++ b/jaysoak/proxy_test.go
@@ -8,33 +8,41 @@
 	"time"
 )
 
-// linkFault is what a proxy does to what passes through it.
+// linkFault is a fault that a proxy injects into its connections.
 type linkFault int32
 
 const (
-	linkWell linkFault = iota
-	// linkSlow delays each piece by slowBy.
+	// linkHealthy forwards all data.
+	linkHealthy linkFault = iota
+	// linkSlow delays each chunk of data by slowDelay.
 	linkSlow
-	// linkReset closes every connection, and each new one at once.
+	// linkReset resets all connections, new ones as soon as they are accepted.
 	linkReset
-	// linkSilent passes nothing on and closes nothing.
+	// linkSilent forwards nothing and leaves all connections open.
 	linkSilent
-	// linkOneWay passes requests on and keeps the answers.
+	// linkOneWay forwards requests and holds back responses.
 	linkOneWay
-	linkFaults
+	// linkFaultCount is the number of values above.
+	linkFaultCount
 )
 
 const (
-	slowBy     = 80 * time.Millisecond
-	pieceBytes = 16 << 10
-	silentLook = 20 * time.Millisecond
+	// slowDelay is the delay of each chunk with linkSlow.
+	slowDelay = 80 * time.Millisecond
+	// chunkBytes is the largest size of a chunk.
+	chunkBytes = 16 << 10
+	// faultPollInterval is the interval at which the fault is checked again while a chunk
+	// is held back.
+	faultPollInterval = 20 * time.Millisecond
 )
 
-// proxy is a loopback proxy in front of one address.
+// proxy is a TCP proxy on the loopback interface with fault injection.
 type proxy struct {
 	listener net.Listener
-	to       string
-	fault    atomic.Int32
+	// to is the address to which connections are forwarded.
+	to string
+	// fault is the current linkFault.
+	fault atomic.Int32
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -54,18 +62,18 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.reset()
+	p.resetConnections()
 }
 
-// set changes the fault. A reset strikes open connections too.
-func (p *proxy) set(f linkFault) {
+// setFault sets the fault. With linkReset, open connections are reset too.
+func (p *proxy) setFault(f linkFault) {
 	p.fault.Store(int32(f))
 	if f == linkReset {
-		p.reset()
+		p.resetConnections()
 	}
 }
 
-func (p *proxy) reset() {
+func (p *proxy) resetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -74,7 +82,7 @@
 	clear(p.conns)
 }
 
-// abort closes a connection with a reset.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -88,11 +96,11 @@
 		if err != nil {
 			return
 		}
-		go p.join(from)
+		go p.forward(from)
 	}
 }
 
-func (p *proxy) join(from net.Conn) {
+func (p *proxy) forward(from net.Conn) {
 	if linkFault(p.fault.Load()) == linkReset {
 		abort(from)
 		return
@@ -105,21 +113,22 @@
 	p.mu.Lock()
 	p.conns[from], p.conns[to] = true, true
 	p.mu.Unlock()
-	go p.pass(from, to, false)
-	p.pass(to, from, true)
+	go p.copyData(from, to, false)
+	p.copyData(to, from, true)
 }
 
-// pass copies one direction, as far as the fault lets it.
-func (p *proxy) pass(from, to net.Conn, answers bool) {
+// copyData forwards data in one direction until the connection is closed, subject to the
+// fault.
+func (p *proxy) copyData(from, to net.Conn, answers bool) {
 	defer func() {
 		_ = from.Close()
 		_ = to.Close()
 	}()
-	piece := make([]byte, pieceBytes)
+	piece := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(piece)
 		if n > 0 {
-			p.hold(answers)
+			p.awaitFault(answers)
 			if _, err := to.Write(piece[:n]); err != nil {
 				return
 			}
@@ -130,8 +139,8 @@
 	}
 }
 
-// hold waits while the fault keeps this direction back.
-func (p *proxy) hold(answers bool) {
+// awaitFault waits while the fault holds back or delays data in this direction.
+func (p *proxy) awaitFault(answers bool) {
 	for {
 		switch linkFault(p.fault.Load()) {
 		case linkSilent:
@@ -140,11 +149,11 @@
 				return
 			}
 		case linkSlow:
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 			return
 		default:
 			return
 		}
-		time.Sleep(silentLook)
+		time.Sleep(faultPollInterval)
 	}
 }
--- a/jaysoak/soak_test.go
+++ b/jaysoak/soak_test.go
@@ -17,76 +17,81 @@
 )
 
 const (
-	// soakEntries and soakMachines are the size of an installation: with the
-	// proxies and callers a few dozen sockets and processes.
-	soakEntries  = 4
+	// soakEntries is the number of entry processes. With the machines, proxies and callers, an
+	// installation of this size needs a few dozen sockets and processes.
+	soakEntries = 4
+	// soakMachines is the number of machines.
 	soakMachines = 8
-	// soakRoom is for how many tasks a machine has room.
-	soakRoom = 8
-	// finishTime is how long after the last fault every accepted job must have
-	// ended: a lost owner's leases and the claims take some seconds.
+	// soakCapacity is the number of tasks that fit on a machine.
+	soakCapacity = 8
+	// finishTime is the time after the last fault within which every accepted job must have
+	// ended. The leases of a lost owner and the claims take some seconds to expire.
 	finishTime = 30 * time.Second
-	// shortSoak is how long faults are injected for one seed in CI.
-	shortSoak = 6 * time.Second
+	// defaultLength is how long faults are injected for one seed unless
+	// JAYTHREAD_SOAK_FOR is set. CI uses this value.
+	defaultLength = 6 * time.Second
 )
 
-// scenario is what a seed is played with. What is drawn depends on how many kinds of
-// faults there are, so that a seed that has failed once keeps those that it had.
+// scenario is a reproducible sequence of faults and jobs. The random draws depend on the
+// number of kinds of faults, so a seed that failed once keeps the number that it failed
+// with.
 type scenario struct {
-	seed  uint64
-	kinds int
+	seed       uint64
+	faultKinds int
 }
 
 const (
-	// firstKinds are the faults without crashes of workers under their IDs and changes of
-	// capacity, and jobs that crash no worker; allKinds are all.
-	firstKinds = 16
-	allKinds   = 18
+	// firstFaultKinds is the number of kinds without crashes of workers that restart under
+	// the same ID and without changes of capacity. No job crashes its workers then.
+	firstFaultKinds = 16
+	// allFaultKinds is the number of all kinds of faults.
+	allFaultKinds = 18
 )
 
-// crashing reports whether jobs crash workers.
-func (s scenario) crashing() bool { return s.kinds > firstKinds }
+// crashing reports whether some jobs crash their workers.
+func (s scenario) crashing() bool { return s.faultKinds > firstFaultKinds }
 
-// regressions are seeds that have failed once, with the cause. They run each
-// time.
+// regressions are scenarios that failed once, each with the cause of the failure. They run
+// every time.
 var regressions = []scenario{
-	// A stop waited for long reads of the store.
-	{42, firstKinds},
-	// Two processes of the installation had one port.
-	{166744, firstKinds},
-	// A woken owner told the state of jobs that the next one had ended.
-	{693828, firstKinds},
-	// A task that crashes its workers was started once more than it may be: one of its
-	// losses was forgotten with its owner.
-	{511346, allKinds},
-	// The stand-in's: a worker that had crashed began one more run.
-	{233363, allKinds},
-	// A job was given up for what another had crashed: their workers were the last of their
-	// rack, and both were started together again.
-	{144303, allKinds},
+	// A graceful stop waited for long reads of the store.
+	{42, firstFaultKinds},
+	// Two processes of the installation were given the same port.
+	{166744, firstFaultKinds},
+	// An owner that was resumed after a pause answered with an outdated state of jobs that
+	// its successor had ended.
+	{693828, firstFaultKinds},
+	// A task that crashes its workers was started once more than allowed: one of the worker
+	// losses that it had caused was forgotten when the pool's owner was lost.
+	{511346, allFaultKinds},
+	// A fault of the simulated platform: a crashed worker started one more run.
+	{233363, allFaultKinds},
+	// A job was given up for crashes that another job had caused: the workers of both were
+	// the last ones of their rack, and both were started together again.
+	{144303, allFaultKinds},
 }
 
-// soak is one run: an installation, its faults and its callers.
+// soak is the run of one scenario: an installation with its faults and the violations found.
 type soak struct {
-	t        *testing.T
-	scenario scenario
-	platform *jaystub.Platform
-	entries  []*process
-	workers  links
+	t             *testing.T
+	scenario      scenario
+	platform      *jaystub.Platform
+	entries       []*process
+	workerProxies proxyMap
 
 	mu       sync.Mutex
 	failures []string
 	faults   sync.WaitGroup
 }
 
-// links are the proxies in front of the workers, by machine. A machine that is
-// restarted or moved gets a new one while faults look for the old one.
-type links struct {
+// proxyMap holds the proxies in front of the workers, by machine. It is used concurrently: a
+// machine that is restarted or moved gets a new proxy while a fault may look up the old one.
+type proxyMap struct {
 	mu      sync.Mutex
 	proxies map[string]*proxy
 }
 
-func (l *links) put(machine string, p *proxy) {
+func (l *proxyMap) set(machine string, p *proxy) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.proxies == nil {
@@ -95,13 +100,13 @@
 	l.proxies[machine] = p
 }
 
-func (l *links) of(machine string) *proxy {
+func (l *proxyMap) get(machine string) *proxy {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.proxies[machine]
 }
 
-func (l *links) close() {
+func (l *proxyMap) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.proxies {
@@ -109,7 +114,8 @@
 	}
 }
 
-func (s *soak) broken(rule, text string) {
+// fail records the violation of a rule.
+func (s *soak) fail(rule, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures = append(s.failures, rule+": "+text)
@@ -119,15 +125,15 @@
 	return s.entries[r.IntN(len(s.entries))]
 }
 
-// TestSoak runs the regression seeds and one fixed seed. JAYTHREAD_SOAK_SEEDS
-// gives others, as "1-50" or "fresh:10", JAYTHREAD_SOAK_FOR the time for which
-// faults are injected.
+// TestSoak runs two fixed seeds and the regressions. JAYTHREAD_SOAK_SEEDS selects other
+// seeds, either a range such as "1-50" or a number of random seeds such as "fresh:10".
+// JAYTHREAD_SOAK_FOR sets how long faults are injected for each seed.
 func TestSoak(t *testing.T) {
-	scenarios, length := append([]scenario{{1, allKinds}, {2, allKinds}}, regressions...), shortSoak
+	scenarios, length := append([]scenario{{1, allFaultKinds}, {2, allFaultKinds}}, regressions...), defaultLength
 	if spec := os.Getenv("JAYTHREAD_SOAK_SEEDS"); spec != "" {
 		scenarios = nil
-		for _, seed := range seedsOf(t, spec) {
-			scenarios = append(scenarios, scenario{seed, allKinds})
+		for _, seed := range parseSeeds(t, spec) {
+			scenarios = append(scenarios, scenario{seed, allFaultKinds})
 		}
 	}
 	if spec := os.Getenv("JAYTHREAD_SOAK_FOR"); spec != "" {
@@ -136,13 +142,13 @@
 			t.Fatal(err)
 		}
 	}
-	binary := build(t)
+	binary := buildBinary(t)
 	for _, played := range scenarios {
-		t.Run(fmt.Sprint("seed", played.seed), func(t *testing.T) { play(t, binary, played, length) })
+		t.Run(fmt.Sprint("seed", played.seed), func(t *testing.T) { runScenario(t, binary, played, length) })
 	}
 }
 
-func seedsOf(t *testing.T, spec string) []uint64 {
+func parseSeeds(t *testing.T, spec string) []uint64 {
 	t.Helper()
 	number := func(text string) uint64 {
 		n, err := strconv.ParseUint(text, 10, 64)
@@ -168,7 +174,7 @@
 	return seeds
 }
 
-func build(t *testing.T) string {
+func buildBinary(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "jaythread")
 	out, err := exec.Command("go", "build", "-o", binary, "jaythread").CombinedOutput()
@@ -178,15 +184,15 @@
 	return binary
 }
 
-// play runs one seed. The logs of a run that fails are kept.
-func play(t *testing.T, binary string, played scenario, length time.Duration) {
+// runScenario runs one scenario. The logs of a failed run are kept.
+func runScenario(t *testing.T, binary string, played scenario, length time.Duration) {
 	seed := played.seed
 	r := rand.New(rand.NewPCG(seed, 7))
 	dir, err := os.MkdirTemp("", fmt.Sprint("jaysoak-", seed, "-"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := install(t, dir, binary, played)
+	s := startInstallation(t, dir, binary, played)
 	c := newCallers(s)
 	var calls sync.WaitGroup
 	until, number := time.Now().Add(length), 0
@@ -194,22 +200,22 @@
 	for time.Now().Before(until) {
 		number++
 		job, own := number, rand.New(rand.NewPCG(seed, uint64(number)+100))
-		calls.Go(func() { c.live(job, own) })
+		calls.Go(func() { c.runJob(job, own) })
 		if time.Now().After(next) {
-			s.injectOne(r)
+			s.injectFault(r)
 			next = time.Now().Add(time.Duration(200+r.IntN(900)) * time.Millisecond)
 		}
 		time.Sleep(time.Duration(20+r.IntN(80)) * time.Millisecond)
 	}
 	calls.Wait()
 	s.faults.Wait()
-	accepted, refused := c.finish(finishTime, r)
+	accepted, refused := c.awaitEnds(finishTime, r)
 	for _, p := range s.platform.Judge.Broken() {
-		s.broken(p.Rule, p.Text)
+		s.fail(p.Rule, p.Text)
 	}
-	t.Logf("%d jobs, %d accepted, %d rejected, %d workers crashed by jobs", number, accepted, refused, c.crashed())
+	t.Logf("%d jobs, %d accepted, %d rejected, %d workers crashed by jobs", number, accepted, refused, c.crashedWorkers())
 	if accepted == 0 {
-		s.broken("soak", "no job was accepted")
+		s.fail("soak", "no job was accepted")
 	}
 	if len(s.failures) == 0 {
 		_ = os.RemoveAll(dir)
@@ -218,9 +224,10 @@
 	t.Errorf("seed %d, logs in %s:\n%s", seed, dir, strings.Join(s.failures, "\n"))
 }
 
-// install starts an installation. By its seed, its inventory checks fences or carries out
-// whatever it is told, and so do the workers of one pool with their room.
-func install(t *testing.T, dir, binary string, played scenario) *soak {
+// startInstallation starts the simulated platform and the entry processes. The seed decides
+// whether the inventory checks the fences of commands, and whether the workers of one pool
+// check their capacity before they start a run.
+func startInstallation(t *testing.T, dir, binary string, played scenario) *soak {
 	t.Helper()
 	platform, err := jaystub.NewPlatform(rand.Float64)
 	if err != nil {
@@ -237,12 +244,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.workers.put(machine, p)
+		s.workerProxies.set(machine, p)
 		return p.addr()
 	}
 	s.configure(1)
 	for n := range soakMachines {
-		if _, err := platform.AddMachine(fmt.Sprint("m", n), []string{"seats", "fees"}[n%2], soakRoom); err != nil {
+		if _, err := platform.AddMachine(fmt.Sprint("m", n), []string{"seats", "fees"}[n%2], soakCapacity); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -255,9 +262,9 @@
 	}
 	t.Cleanup(func() {
 		for _, p := range s.entries {
-			p.end()
+			p.kill()
 		}
-		s.workers.close()
+		s.workerProxies.close()
 		platform.Close()
 	})
 	return s
@@ -267,20 +274,20 @@
 	s.platform.Configure(version, [3]string{"a.example", "/seats/", "seats"}, [3]string{"a.example", "/fees/", "fees"})
 }
 
-// injectOne begins one random fault. Faults overlap.
-func (s *soak) injectOne(r *rand.Rand) {
+// injectFault starts one random fault in the background. Faults may overlap.
+func (s *soak) injectFault(r *rand.Rand) {
 	entry, pause := s.anyEntry(r), time.Duration(200+r.IntN(1500))*time.Millisecond
 	machine := fmt.Sprint("m", r.IntN(soakMachines))
-	link := linkFault(1 + r.IntN(int(linkFaults)-1))
+	link := linkFault(1 + r.IntN(int(linkFaultCount)-1))
 	version := int(time.Now().UnixMilli())
 	var foreignEntry any
-	room := soakRoom
+	room := soakCapacity
 	kinds := []func(){
-		func() { s.check(entry.replace(syscall.SIGKILL, pause)) },
-		func() { s.check(entry.replace(syscall.SIGTERM, pause)) },
+		func() { s.checkError(entry.restart(syscall.SIGKILL, pause)) },
+		func() { s.checkError(entry.restart(syscall.SIGTERM, pause)) },
 		func() { entry.signal(syscall.SIGSTOP); time.Sleep(2 * pause); entry.signal(syscall.SIGCONT) },
 		func() { entry.signal(syscall.SIGHUP) },
-		func() { entry.store.set(link); time.Sleep(pause); entry.store.set(linkWell) },
+		func() { entry.store.setFault(link); time.Sleep(pause); entry.store.setFault(linkHealthy) },
 		func() { s.workerFault(machine, link, pause) },
 		func() { s.storeFault(jaystub.Faults{Down: true}, pause) },
 		func() { s.storeFault(jaystub.Faults{Silent: true}, pause) },
@@ -290,25 +297,30 @@
 		func() { s.platform.Restart(s.platform.Machine(machine)) },
 		func() { s.configure(version) },
 		func() { s.platform.DeclareWave(version, []string{machine}, 10*time.Second, 1) },
-		s.everyone,
+		s.restartAllEntries,
 		func() { s.platform.Store.Put("keyed.servers", fmt.Sprint("foreign-", version), foreignEntry) },
 		func() { s.platform.Crash(machine, pause) },
-		func() { s.platform.Resize(machine, room); time.Sleep(4 * pause); s.platform.Resize(machine, soakRoom) },
+		func() {
+			s.platform.Resize(machine, room)
+			time.Sleep(4 * pause)
+			s.platform.Resize(machine, soakCapacity)
+		},
 	}
-	kind := r.IntN(s.scenario.kinds)
-	// Drawn here, not as the fault begins: the source of randomness has no lock, and seeds
-	// that failed once keep their order of draws.
+	kind := r.IntN(s.scenario.faultKinds)
+	// The random values are drawn here and not in the fault's goroutine: the random source
+	// has no lock, and seeds that failed once must keep their order of draws.
 	switch kind {
-	case firstKinds - 1:
-		foreignEntry = foreign(r)
-	case allKinds - 1:
-		room = r.IntN(soakRoom)
+	case firstFaultKinds - 1:
+		foreignEntry = randomForeignEntry(r)
+	case allFaultKinds - 1:
+		room = r.IntN(soakCapacity)
 	}
 	s.faults.Go(kinds[kind])
 }
 
-// foreign is an entry among those of the workers that another writer left.
-func foreign(r *rand.Rand) any {
+// randomForeignEntry returns a random entry for the list of workers that was not written by a
+// worker. It is malformed or has invalid values.
+func randomForeignEntry(r *rand.Rand) any {
 	entries := []any{
 		7, "ready", []string{}, map[string]any{"service": "seats"},
 		map[string]any{"service": 1, "addr": true, "state": "ready"},
@@ -319,20 +331,20 @@
 	return entries[r.IntN(len(entries))]
 }
 
-// workerFault harms the link to one worker. Where the machine's worker is
-// replaced meanwhile, the link that was harmed recovers, too.
+// workerFault injects a fault into the link to a worker for some time. If the machine's worker
+// is replaced meanwhile, the fault is still removed from the old link.
 func (s *soak) workerFault(machine string, fault linkFault, length time.Duration) {
-	link := s.workers.of(machine)
-	link.set(fault)
+	link := s.workerProxies.get(machine)
+	link.setFault(fault)
 	time.Sleep(length)
-	link.set(linkWell)
+	link.setFault(linkHealthy)
 }
 
-// everyone kills all entries at once.
-func (s *soak) everyone() {
+// restartAllEntries kills all entries at once and restarts them.
+func (s *soak) restartAllEntries() {
 	var all sync.WaitGroup
 	for _, p := range s.entries {
-		all.Go(func() { s.check(p.replace(syscall.SIGKILL, 500*time.Millisecond)) })
+		all.Go(func() { s.checkError(p.restart(syscall.SIGKILL, 500*time.Millisecond)) })
 	}
 	all.Wait()
 }
@@ -343,8 +355,8 @@
 	s.platform.Store.SetFaults(jaystub.Faults{})
 }
 
-func (s *soak) check(err error) {
+func (s *soak) checkError(err error) {
 	if err != nil {
-		s.broken("process", err.Error())
+		s.fail("process", err.Error())
 	}
 }
