--- a/jaydemo/balancer.go
+++ b/jaydemo/balancer.go
@@ -9,25 +9,31 @@
 	"github.com/valyala/fasthttp"
 )
 
-// balancer stands in for the platform's: it sends callers to entries that are
-// ready, one after another, and to a resend another one.
+// balancer simulates the platform's load balancer. It distributes requests over the ready
+// entries in turn, so that a retry usually goes to another entry.
 type balancer struct {
 	mu      sync.Mutex
 	targets []*target
-	next    atomic.Uint64
+	// next counts the selections of an entry.
+	next atomic.Uint64
 }
 
+// target is an entry known to the balancer.
 type target struct {
-	addr     string
+	// addr is the entry's address for callers.
+	addr string
+	// operator is the entry's address for operators.
 	operator string
 	client   *fasthttp.HostClient
 	ready    atomic.Bool
-	// asked tells that a probe is under way.
-	asked atomic.Bool
+	// probing says that a readiness probe is in progress.
+	probing atomic.Bool
 }
 
 const (
-	healthEvery  = 50 * time.Millisecond
+	// pollInterval is the interval at which entries are probed and conditions are checked.
+	pollInterval = 50 * time.Millisecond
+	// probeTimeout is the time limit of a readiness probe.
 	probeTimeout = time.Second
 )
 
@@ -65,6 +71,7 @@
 	return append([]*target(nil), b.targets...)
 }
 
+// pick returns the next ready entry, or nil if none is ready.
 func (b *balancer) pick() *target {
 	all := b.all()
 	for range all {
@@ -76,22 +83,22 @@
 	return nil
 }
 
-// watch asks the entries whether they are ready until the context ends, each apart
-// from the others: one that is slow must not delay what is known of the rest.
-func (b *balancer) watch(ctx context.Context) {
+// probeAll probes the readiness of all entries until the context ends. Each entry is probed
+// in a goroutine of its own, so that a slow one does not delay the probes of the others.
+func (b *balancer) probeAll(ctx context.Context) {
 	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1}
 	for ctx.Err() == nil {
 		for _, t := range b.all() {
-			if t.asked.CompareAndSwap(false, true) {
+			if t.probing.CompareAndSwap(false, true) {
 				go t.probe(client)
 			}
 		}
-		time.Sleep(healthEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
 func (t *target) probe(client *fasthttp.Client) {
 	status, _, err := client.GetTimeout(nil, "http://"+t.operator+"/readyz", probeTimeout)
 	t.ready.Store(err == nil && status == fasthttp.StatusOK)
-	t.asked.Store(false)
+	t.probing.Store(false)
 }
--- a/jaydemo/callers.go
+++ b/jaydemo/callers.go
@@ -19,26 +19,31 @@
 )
 
 const (
-	// callerTimeout is how long a caller waits for an answer.
+	// callerTimeout is how long a caller waits for a response.
 	callerTimeout = 10 * time.Second
-	// largeAnswer is above the entries' buffer, so that it is streamed.
+	// largeAnswer is the size in bytes of a large response. It exceeds the entries'
+	// buffer, so that the response is streamed.
 	largeAnswer = 1500 << 10
 )
 
-// callers send the load through the balancer and check each answer.
+// callers send requests through the balancer and check each response.
 type callers struct {
 	profile  Profile
 	balancer *balancer
 	ledger   *jaystandin.Ledger
 
-	mu      sync.Mutex
-	tally   tally
-	refused []string
+	mu    sync.Mutex
+	tally tally
+	// refusedAttempts are the IDs of the attempts that were rejected as not run.
+	refusedAttempts []string
+	// reasons counts the responses of entries by their text, and requests without a
+	// response by their error.
 	reasons map[string]int
+	// latency is in microseconds.
 	latency *hdrhistogram.Histogram
 }
 
-// tally is what the callers saw.
+// tally holds the counters of the callers.
 type tally struct {
 	requests      int
 	answered      int
@@ -46,7 +51,7 @@
 	mayHaveRun    int
 	wrongAnswers  int
 	cutInFlight   int
-	failed        int
+	unsent        int
 }
 
 func newCallers(p Profile, b *balancer, ledger *jaystandin.Ledger) *callers {
@@ -59,15 +64,15 @@
 	}
 }
 
-// run sends requests from many callers, at a bounded rate, until the context
-// ends.
+// run sends requests from a number of callers until the context ends. Each caller pauses
+// between its requests, on average for the given time.
 func (c *callers) run(ctx context.Context, callerCount int, pause time.Duration) {
 	var running sync.WaitGroup
 	for n := range callerCount {
 		running.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(n), 1))
 			for ctx.Err() == nil {
-				c.one(random, fmt.Sprintf("college-%d", n%12))
+				c.sendRandom(random, fmt.Sprintf("college-%d", n%12))
 				time.Sleep(pause/2 + time.Duration(random.Int64N(int64(pause))))
 			}
 		})
@@ -75,7 +80,7 @@
 	running.Wait()
 }
 
-// call is one request as a caller sends it.
+// call is a request to be sent by a caller.
 type call struct {
 	id     string
 	key    string
@@ -86,7 +91,9 @@
 	size   int
 }
 
-func (c *callers) one(random *rand.Rand, caller string) {
+// sendRandom sends a random request. A payment that failed is sent again, and sometimes one
+// that succeeded too.
+func (c *callers) sendRandom(random *rand.Rand, caller string) {
 	service := c.profile.Services[random.IntN(len(c.profile.Services))]
 	q := call{id: uuid.NewString(), caller: caller, method: fasthttp.MethodGet, path: "/" + service + "/list"}
 	switch kind := random.IntN(100); {
@@ -100,12 +107,13 @@
 	}
 	answered := c.send(q)
 	if q.key != "" && (!answered || random.IntN(5) == 0) {
-		// The same payment again, by another entry: it must not run twice.
+		// The same payment is sent again, usually through another entry; it must not run
+		// twice.
 		c.send(q)
 	}
 }
 
-// send sends a request to an entry and reports whether it was answered.
+// send sends a request to an entry and reports whether it succeeded.
 func (c *callers) send(q call) bool {
 	entry := c.balancer.pick()
 	if entry == nil {
@@ -127,15 +135,17 @@
 	req.SetBodyRaw(q.body)
 	began := time.Now()
 	err := entry.client.DoTimeout(req, resp, callerTimeout)
-	return c.judge(q, attempt, resp, err, time.Since(began))
+	return c.checkResponse(q, attempt, resp, err, time.Since(began))
 }
 
-func (c *callers) judge(q call, attempt string, resp *fasthttp.Response, err error, took time.Duration) bool {
+// checkResponse counts a response and checks its body. It reports whether the request
+// succeeded.
+func (c *callers) checkResponse(q call, attempt string, resp *fasthttp.Response, err error, took time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tally.requests++
 	if err != nil {
-		c.noteError(err)
+		c.recordError(err)
 		c.reasons["no answer: "+err.Error()]++
 		return false
 	}
@@ -150,7 +160,7 @@
 		return true
 	case verdict == jayverdict.NotRun:
 		c.tally.refusedNotRun++
-		c.refused = append(c.refused, attempt)
+		c.refusedAttempts = append(c.refusedAttempts, attempt)
 		c.reasons[strings.TrimSpace(string(resp.Body()))]++
 	default:
 		c.tally.mayHaveRun++
@@ -159,23 +169,24 @@
 	return false
 }
 
-// noteError counts a request without an answer. One that could not connect
-// was not in flight.
-func (c *callers) noteError(err error) {
+// recordError counts a request without a response. A request whose connection could not be
+// opened was not in flight.
+func (c *callers) recordError(err error) {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		c.tally.failed++
+		c.tally.unsent++
 		return
 	}
 	c.tally.cutInFlight++
 }
 
-// notRunButRan returns how many sendings that were refused as "not run" ran.
+// notRunButRan returns the number of attempts that were rejected as not run although they
+// ran.
 func (c *callers) notRunButRan() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	broken := 0
-	for _, attempt := range c.refused {
+	for _, attempt := range c.refusedAttempts {
 		if c.ledger.RunsOf(attempt) > 0 {
 			broken++
 		}
--- a/jaydemo/demo.go
+++ b/jaydemo/demo.go
@@ -19,41 +19,59 @@
 	"jaythread/jaystandin"
 )
 
-// The demo's own times: everything happens faster than in real life.
+// The parameters of the demo. Its times are shorter than those of real installations.
 const (
-	entryCount    = 8
-	listLag       = 200 * time.Millisecond
-	rebootTime    = 300 * time.Millisecond
-	settleTime    = 200 * time.Millisecond
-	appendDelay   = 1500 * time.Microsecond
-	stopGrace     = probeTimeout
-	readyTimeout  = 20 * time.Second
-	callerCount   = 64
-	callerPause   = 100 * time.Millisecond
-	rackDownTime  = 2 * time.Second
-	logDownTime   = 1500 * time.Millisecond
-	waveBefore    = 8
-	sampleEvery   = 50 * time.Millisecond
-	waveName      = "demo"
+	// entryCount is the number of entries.
+	entryCount = 8
+	// listLag is how long changes take to become visible in the instance list.
+	listLag = 200 * time.Millisecond
+	// rebootTime is how long the reboot of a worker takes.
+	rebootTime = 300 * time.Millisecond
+	// settleTime is the entries' setting of the same name.
+	settleTime = 200 * time.Millisecond
+	// appendDelay is the delay of each append and read of the log service.
+	appendDelay = 1500 * time.Microsecond
+	// stopGrace is the entries' setting of the same name.
+	stopGrace = probeTimeout
+	// readyTimeout is the time limit for the start of all entries and workers.
+	readyTimeout = 20 * time.Second
+	// callerCount is the number of concurrent callers.
+	callerCount = 64
+	// callerPause is the mean pause between two requests of a caller.
+	callerPause = 100 * time.Millisecond
+	// rackDownTime is how long the workers of the failed rack are down.
+	rackDownTime = 2 * time.Second
+	// logDownTime is how long the log service is down.
+	logDownTime = 1500 * time.Millisecond
+	// returnedBeforeFailure is the number of instances that have returned from maintenance
+	// when the rack fails.
+	returnedBeforeFailure = 8
+	// sampleInterval is the interval at which the spare capacity is sampled.
+	sampleInterval = 50 * time.Millisecond
+	// waveName is the ID of the maintenance wave.
+	waveName = "demo"
+	// operatorActor is the name of the operator in the audit log.
 	operatorActor = "demo operator"
 )
 
-// Options say what the demo runs.
+// Options are the options of the demo.
 type Options struct {
+	// Profile is the simulated installation.
 	Profile Profile
-	// For bounds the demo; zero runs until the context ends.
+	// For is how long the demo runs. Zero means until the context ends.
 	For time.Duration
-	// Break breaks a promise on purpose: runTwice makes a worker run each
-	// request twice, overlook makes the stand-in stop too many workers.
-	Break  string
+	// Break violates a guarantee on purpose: with runTwice all workers run each request
+	// twice, and with overlook the simulated platform stops too many workers.
+	Break string
+	// Out is where the addresses of the entries are written.
 	Out    io.Writer
 	Logger logr.Logger
 }
 
-// ErrBreak is reported for an unknown way to break a promise.
+// ErrBreak is the error for an unknown value of Options.Break.
 var ErrBreak = errors.New("break is none of runTwice, overlook")
 
-// Run runs the demo and returns what was counted.
+// Run runs the demo and returns its report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Break != "" && o.Break != "runTwice" && o.Break != "overlook" {
 		return nil, ErrBreak
@@ -71,21 +89,29 @@
 	return d.run(ctx)
 }
 
+// demo is a running demo.
 type demo struct {
 	options  Options
 	platform *jaystandin.Platform
+	// listener is the listener of the platform's HTTP API.
 	listener net.Listener
+	// url is the URL of the platform's HTTP API.
 	url      string
 	balancer *balancer
-	running  []*runningEntry
-	callers  *callers
+	// running are the running entries.
+	running []*runningEntry
+	callers *callers
 
-	mu      sync.Mutex
-	spare   float64
+	mu sync.Mutex
+	// spareSum sums up the samples of the spare capacity.
+	spareSum float64
+	// samples counts these samples.
 	samples int
-	inForce time.Duration
+	// publishTime is how long a change of the configuration took until all entries used it.
+	publishTime time.Duration
 }
 
+// runningEntry is an entry of the demo.
 type runningEntry struct {
 	entry   *jayentry.Entry
 	options *jayoptions.Options
@@ -111,6 +137,7 @@
 	return nil
 }
 
+// startEntry starts entry number n and adds it to the balancer.
 func (d *demo) startEntry(n int) error {
 	o := jayoptions.New()
 	centers := d.options.Profile.DataCenters
@@ -151,8 +178,8 @@
 	}
 	watching, stopWatching := context.WithCancel(context.Background())
 	defer stopWatching()
-	go d.balancer.watch(watching)
-	if err := d.applyFirst(ctx); err != nil {
+	go d.balancer.probeAll(watching)
+	if err := d.applySample(ctx); err != nil {
 		return nil, err
 	}
 	for _, r := range d.running {
@@ -163,7 +190,7 @@
 	var load, script sync.WaitGroup
 	loading, stopLoad := context.WithCancel(context.Background())
 	load.Go(func() { d.callers.run(loading, callerCount, callerPause) })
-	load.Go(func() { d.sample(loading) })
+	load.Go(func() { d.sampleSpare(loading) })
 	script.Go(func() { d.script(ctx) })
 	<-ctx.Done()
 	script.Wait()
@@ -173,9 +200,9 @@
 	return d.report(done), nil
 }
 
-// applyFirst waits for the operator interface and applies the sample
-// configuration, until all entries are ready with all workers in their pools.
-func (d *demo) applyFirst(ctx context.Context) error {
+// applySample publishes the sample configuration as soon as an entry accepts it. It then
+// waits until all entries are ready and have all workers in their pools.
+func (d *demo) applySample(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := d.operator(0)
@@ -185,16 +212,16 @@
 			break
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("apply the sample: %w", err)
+			return fmt.Errorf("apply the sample configuration: %w", err)
 		}
-		time.Sleep(healthEvery)
+		time.Sleep(pollInterval)
 	}
 	want := len(d.platform.Fleet.WorkerIDs())
 	for !d.allReady(want) {
 		if ctx.Err() != nil {
 			return errors.New("the entries were not ready in time")
 		}
-		time.Sleep(healthEvery)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
@@ -236,16 +263,16 @@
 	return false
 }
 
-// sample averages the spare capacity over the needed one.
-func (d *demo) sample(ctx context.Context) {
+// sampleSpare samples the spare capacity, as a share of the minimum, until the context ends.
+func (d *demo) sampleSpare(ctx context.Context) {
 	needed := d.options.Profile.MinAvailable * len(d.options.Profile.Services)
 	for ctx.Err() == nil {
 		spare := float64(d.platform.Fleet.Available()-needed) / float64(needed)
 		d.mu.Lock()
-		d.spare += spare
+		d.spareSum += spare
 		d.samples++
 		d.mu.Unlock()
-		time.Sleep(sampleEvery)
+		time.Sleep(sampleInterval)
 	}
 }
 
@@ -258,7 +285,7 @@
 		RefusedNotRun:       t.refusedNotRun,
 		MayHaveRun:          t.mayHaveRun,
 		Reasons:             d.callers.reasons,
-		Unsent:              t.failed,
+		Unsent:              t.unsent,
 		WrongAnswers:        t.wrongAnswers,
 		DoubledRuns:         seen.DoubledRuns,
 		NotRunButRan:        d.callers.notRunButRan(),
@@ -268,13 +295,13 @@
 		LateWork:            seen.LateWork,
 		TaskOverlaps:        seen.TaskOverlaps,
 		SlotOverruns:        seen.SlotOverruns,
-		BufferCost:          d.spare / float64(max(1, d.samples)),
+		BufferCost:          d.spareSum / float64(max(1, d.samples)),
 		RollOutSeconds:      d.platform.Fleet.RollOut().Seconds(),
 		WaveDone:            waveDone,
 		Reboots:             seen.Reboots,
 		InstanceMoves:       seen.InstanceMoves,
 		JobMoves:            seen.JobMoves,
-		ConfigInForceMillis: float64(d.inForce.Microseconds()) / 1000,
+		ConfigInForceMillis: float64(d.publishTime.Microseconds()) / 1000,
 		StateAppends:        d.platform.Log.Appends(jayentry.StateStream),
 		ClaimAppends:        d.platform.Log.Appends(jayentry.ClaimStream),
 		SnapshotAppends:     d.platform.Log.Appends(jayentry.SnapshotStream),
--- a/jaydemo/demo_test.go
+++ b/jaydemo/demo_test.go
@@ -14,8 +14,8 @@
 	"jaythread/jayconfig"
 )
 
-// demoFor runs a short demo and returns its report.
-func demoFor(t *testing.T, how string) *Report {
+// runDemo runs a short demo with an injected violation and returns its report.
+func runDemo(t *testing.T, how string) *Report {
 	t.Helper()
 	report, err := Run(context.Background(), Options{Profile: Mesob(), For: 15 * time.Second, Break: how, Out: io.Discard, Logger: logr.Discard()})
 	if err != nil {
@@ -24,9 +24,9 @@
 	return report
 }
 
-func TestBrokenPromisesAreSeen(t *testing.T) {
+func TestInjectedViolationsAreReported(t *testing.T) {
 	t.Run("a payment that runs twice", func(t *testing.T) {
-		is.New(t).True(slices.Contains(demoFor(t, "runTwice").Broken(), "doubledRuns"))
+		is.New(t).True(slices.Contains(runDemo(t, "runTwice").Broken(), "doubledRuns"))
 	})
 	t.Run("an unknown way", func(t *testing.T) {
 		_, err := Run(context.Background(), Options{Profile: Mesob(), Break: "everything"})
--- a/jaydemo/profile.go
+++ b/jaydemo/profile.go
@@ -1,6 +1,6 @@
-// Package jaydemo runs a whole small installation in one process: stand-ins of
-// the platform, eight entry instances, callers and an operator. It judges the
-// promises by what the stand-ins and the callers saw.
+// Package jaydemo runs a small installation in one process: a simulated platform, eight
+// entry instances, callers and an operator. It checks the system's guarantees against what
+// the simulated platform and the callers observe.
 package jaydemo
 
 import (
@@ -14,25 +14,32 @@
 	"jaythread/jaystandin"
 )
 
-// Profile is a user's installation as the brief gives it.
+// Profile describes the installation of a user, as the requirements specify it.
 type Profile struct {
 	Name        string
 	TimeZone    string
 	DataCenters []string
 	Services    []string
 	// Payments is the service whose requests must run at most once.
-	Payments        string
-	WorkersEach     int
-	RackSize        int
-	Slots           int
-	Connections     int
+	Payments string
+	// WorkersEach is the number of workers of each service.
+	WorkersEach int
+	// RackSize is the largest number of workers in a rack.
+	RackSize int
+	// Slots is the number of requests that a worker runs at the same time.
+	Slots int
+	// Connections is the limit of connections to a worker.
+	Connections int
+	// Processors is the number of cores of each worker.
 	Processors      int64
 	MemoryGigabytes int64
-	MinAvailable    int
-	ServiceTime     time.Duration
+	// MinAvailable is the number of workers of each service that must stay available.
+	MinAvailable int
+	// ServiceTime is how long a worker takes for a request.
+	ServiceTime time.Duration
 }
 
-// Mesob is Mesob Learning Systems.
+// Mesob returns the profile of Mesob Learning Systems.
 func Mesob() Profile {
 	return Profile{
 		Name:            "mesob",
@@ -51,7 +58,7 @@
 	}
 }
 
-// Qalam is Qalam Works.
+// Qalam returns the profile of Qalam Works.
 func Qalam() Profile {
 	p := Mesob()
 	p.Name = "qalam"
@@ -66,7 +73,7 @@
 	return p
 }
 
-// ProfileNamed returns a profile by its name.
+// ProfileNamed returns the profile with the given name.
 func ProfileNamed(name string) (Profile, error) {
 	switch name {
 	case "mesob":
@@ -78,7 +85,7 @@
 	}
 }
 
-// placement is where a worker stands.
+// placement is the location of a worker.
 type placement struct {
 	id         string
 	service    string
@@ -86,8 +93,9 @@
 	rack       string
 }
 
-// layout spreads each service over the data centres and fills racks with
-// workers of different services, as the brief's failure domains suggest.
+// layout returns the placements of all workers. It spreads each service over the data
+// centres and fills racks with workers of different services, in accordance with the failure
+// domains in the requirements.
 func (p Profile) layout() []placement {
 	perCenter := map[string]int{}
 	var all []placement
@@ -107,8 +115,8 @@
 	return all
 }
 
-// Workers returns the profile's workers as the instance list shows them,
-// without addresses.
+// Workers returns the profile's workers as they appear in the instance list, without
+// addresses.
 func (p Profile) Workers() []jayplatform.Instance {
 	var workers []jayplatform.Instance
 	for _, at := range p.layout() {
@@ -125,7 +133,8 @@
 	return workers
 }
 
-// AddWorkers starts the profile's workers at a fleet.
+// AddWorkers starts the profile's workers in a fleet and sets the minimum number of available
+// workers of each service.
 func (p Profile) AddWorkers(fleet *jaystandin.Fleet) error {
 	layout := p.layout()
 	for n, spec := range p.Workers() {
@@ -171,11 +180,11 @@
 	return c
 }
 
-// Document returns the sample configuration as operators write it.
+// Document returns the sample configuration as a JSON document.
 func (p Profile) Document() string {
 	text, err := json.MarshalIndent(p.Configuration(), "", "  ")
 	if err != nil {
-		// The structs above always marshal.
+		// The configuration has no value that cannot be marshalled.
 		panic(err)
 	}
 	return string(text)
--- a/jaydemo/script.go
+++ b/jaydemo/script.go
@@ -15,15 +15,16 @@
 	"jaythread/jaystandin"
 )
 
-// script is what the operator and fate do: a wave, a rack that fails in the
-// middle of it, a change of the configuration, and an entry that is replaced.
+// script runs the operator's actions and the faults: a maintenance wave, the failure of a
+// rack during the wave, a change of the configuration, an outage of the log service, the
+// replacement of an entry, and the move of an instance.
 func (d *demo) script(ctx context.Context) {
-	d.breakOnPurpose()
+	d.injectViolation()
 	if _, err := d.operator(0).StartWave(jayapi.Wave{Wave: waveName}); err != nil {
 		d.options.Logger.Error(err, "wave not started")
 		return
 	}
-	d.awaitReturned(ctx, waveBefore)
+	d.awaitReturned(ctx, returnedBeforeFailure)
 	rack := d.rackOf(d.options.Profile.layout()[0])
 	for _, id := range rack {
 		d.platform.Fleet.Kill(id)
@@ -37,20 +38,20 @@
 	}
 	d.logOutage(ctx)
 	d.replaceEntry(ctx)
-	d.awaitDone(ctx)
+	d.awaitWaveDone(ctx)
 	d.moveInstance(ctx)
 }
 
-// logOutage takes the log service down for a while. Requests go on; payments
-// are claimed with all peers.
+// logOutage takes the log service down for some time. Requests continue meanwhile, and
+// payments are claimed with all peers.
 func (d *demo) logOutage(ctx context.Context) {
 	d.platform.Log.SetFaults(jaystandin.LogFaults{Down: true})
 	jayclock.Sleep(ctx, logDownTime)
 	d.platform.Log.SetFaults(jaystandin.LogFaults{Delay: appendDelay})
 }
 
-// moveInstance moves the last worker of the last service to the first one's
-// pool, under load.
+// moveInstance moves the last worker of the last service to the pool of the first service
+// under load.
 func (d *demo) moveInstance(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
@@ -62,11 +63,12 @@
 		return
 	}
 	for ctx.Err() == nil && d.platform.Fleet.Ledger.Counters().InstanceMoves == 0 {
-		jayclock.Sleep(ctx, healthEvery)
+		jayclock.Sleep(ctx, pollInterval)
 	}
 }
 
-func (d *demo) breakOnPurpose() {
+// injectViolation violates the guarantee that Options.Break selects.
+func (d *demo) injectViolation() {
 	ids := d.platform.Fleet.WorkerIDs()
 	switch d.options.Break {
 	case "runTwice":
@@ -87,17 +89,17 @@
 		if err == nil && len(status.Waves) > 0 && status.Waves[0].Returned >= n {
 			return
 		}
-		jayclock.Sleep(ctx, healthEvery)
+		jayclock.Sleep(ctx, pollInterval)
 	}
 }
 
-func (d *demo) awaitDone(ctx context.Context) {
+func (d *demo) awaitWaveDone(ctx context.Context) {
 	for ctx.Err() == nil && !d.waveDone() {
-		jayclock.Sleep(ctx, healthEvery)
+		jayclock.Sleep(ctx, pollInterval)
 	}
 }
 
-// rackOf returns the workers that share a rack with one.
+// rackOf returns the IDs of all workers in the rack of a placement.
 func (d *demo) rackOf(of placement) []string {
 	var ids []string
 	for _, at := range d.options.Profile.layout() {
@@ -108,8 +110,8 @@
 	return ids
 }
 
-// changeConfiguration publishes a rule and asks every entry until it decides
-// by it.
+// changeConfiguration publishes a new rule and measures how long it takes until every entry
+// uses it.
 func (d *demo) changeConfiguration(ctx context.Context) {
 	client := d.operator(1)
 	current, err := client.Configuration()
@@ -133,15 +135,15 @@
 	}
 	var asked sync.WaitGroup
 	for _, t := range d.balancer.all() {
-		asked.Go(func() { awaitProbe(ctx, t) })
+		asked.Go(func() { awaitProbeRule(ctx, t) })
 	}
 	asked.Wait()
-	d.inForce = time.Since(began)
+	d.publishTime = time.Since(began)
 }
 
-// awaitProbe asks an entry until it refuses the probe by the new rule (403)
-// instead of finding no rule (404).
-func awaitProbe(ctx context.Context, t *target) {
+// awaitProbeRule sends probe requests to an entry until it rejects one by the new rule with
+// status 403. Without the rule, the status is 404.
+func awaitProbeRule(ctx context.Context, t *target) {
 	for ctx.Err() == nil {
 		status, _, err := t.client.GetTimeout(nil, "http://"+t.addr+"/probe", time.Second)
 		if err == nil && status == fasthttp.StatusForbidden {
