--- a/jaybench/bench_test.go
+++ b/jaybench/bench_test.go
@@ -1,5 +1,5 @@
-// Package jaybench measures an entry instance against baselines in one
-// process on loopback: a direct call, and a plain hop without rules, verdicts,
+// Package jaybench compares an entry instance with two baselines, all in one process on
+// the loopback interface: a direct call, and a plain reverse proxy without rules, verdicts,
 // limits or claims.
 package jaybench
 
@@ -25,14 +25,16 @@
 	"jaythread/jaystandin"
 )
 
+// document is the configuration of the entries.
 const document = `{
   "pools": [{"name": "seats", "instances": ["seats-*"], "minAvailable": 0, "slots": 1000, "connections": 1000}],
   "rules": [
     {"name": "pay", "about": "request", "when": {"path": ["/pay"]}, "then": {"route": "seats"}},
     {"name": "read", "about": "request", "then": {"route": "seats", "idempotent": true}}]}`
 
-// upstreams are plain servers that answer five bytes.
-func upstreams(b testing.TB, n int) []string {
+// startUpstreams starts plain servers that respond with five bytes, and returns their
+// addresses.
+func startUpstreams(b testing.TB, n int) []string {
 	b.Helper()
 	var addrs []string
 	for range n {
@@ -48,7 +50,7 @@
 	return addrs
 }
 
-// platform is the stand-in platform with the upstreams as its workers.
+// platform is a simulated platform with the upstreams as its workers.
 type platform struct {
 	*jaystandin.LogService
 	workers []jayplatform.Instance
@@ -64,8 +66,9 @@
 
 func (p *platform) Do(string, uint64, jayplatform.Order) error { return nil }
 
-// entry starts an entry instance over upstreams and returns its address.
-func entry(b testing.TB, addrs []string, eventLoops int) (string, *jayentry.Entry) {
+// startServingEntry starts an entry instance in front of upstreams and waits until it serves
+// requests. It returns the address for callers.
+func startServingEntry(b testing.TB, addrs []string, eventLoops int) (string, *jayentry.Entry) {
 	b.Helper()
 	p := &platform{LogService: jaystandin.NewLogService()}
 	for n, addr := range addrs {
@@ -73,7 +76,7 @@
 			ID: fmt.Sprint("seats-", n), Kind: jayplatform.Worker, State: jayplatform.Live, Addr: addr, Rack: fmt.Sprint(n),
 		})
 	}
-	e, o := start(b, p, eventLoops)
+	e, o := startEntry(b, p, eventLoops)
 	client := jayapi.NewClient("http://"+o.OperatorAddr, "", "bench")
 	if _, err := client.Publish(jayapi.Publish{Message: "bench", Document: document}); err != nil {
 		b.Fatal(err)
@@ -82,8 +85,8 @@
 	return o.CallerAddr, e
 }
 
-// start starts an entry instance on free addresses.
-func start(b testing.TB, p *platform, eventLoops int) (*jayentry.Entry, *jayoptions.Options) {
+// startEntry starts an entry instance on free addresses.
+func startEntry(b testing.TB, p *platform, eventLoops int) (*jayentry.Entry, *jayoptions.Options) {
 	b.Helper()
 	o := jayoptions.New()
 	o.EventLoops = eventLoops
@@ -115,7 +118,7 @@
 	for range 1000 {
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+addr+"/x", time.Second)
 		if err == nil && status == fasthttp.StatusOK {
-			time.Sleep(3 * time.Second) // the slow start of new upstreams is over
+			time.Sleep(3 * time.Second) // waits until the slow start of new upstreams is over
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -123,8 +126,9 @@
 	b.Fatal("the entry does not serve")
 }
 
-// plainHop is a hop that sends each request to the next upstream in turn.
-func plainHop(b testing.TB, addrs []string) string {
+// startPlainProxy starts a reverse proxy that sends each request to the next upstream in turn,
+// and returns its address.
+func startPlainProxy(b testing.TB, addrs []string) string {
 	b.Helper()
 	clients := make([]*fasthttp.HostClient, len(addrs))
 	for n, addr := range addrs {
@@ -150,11 +154,12 @@
 	return listener.Addr().String()
 }
 
+// callers is the number of concurrent callers, each with a connection of its own.
 const callers = 32
 
-// load sends b.N requests over callers connections and reports latencies and
-// processor time.
-func load(b *testing.B, addr, path string, keyed bool) {
+// runLoad sends b.N requests from concurrent callers and reports latencies and CPU time. With
+// keyed, each request has an idempotency key.
+func runLoad(b *testing.B, addr, path string, keyed bool) {
 	b.Helper()
 	client := &fasthttp.HostClient{Addr: addr, MaxConns: callers, MaxIdemponentCallAttempts: 1}
 	var mu sync.Mutex
@@ -192,36 +197,36 @@
 	b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpuµs/op")
 }
 
-// cpuTime is the processor time of this process: callers, hop and upstreams.
+// cpuTime returns the CPU time of this process, which includes callers, proxy and upstreams.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkHop compares a direct call, a plain hop and the entry.
+// BenchmarkHop compares a direct call, a plain reverse proxy and the entry.
 func BenchmarkHop(b *testing.B) {
-	b.Run("direct", func(b *testing.B) { load(b, upstreams(b, 1)[0], "/x", false) })
-	b.Run("plain", func(b *testing.B) { load(b, plainHop(b, upstreams(b, 4)), "/x", false) })
+	b.Run("direct", func(b *testing.B) { runLoad(b, startUpstreams(b, 1)[0], "/x", false) })
+	b.Run("plain", func(b *testing.B) { runLoad(b, startPlainProxy(b, startUpstreams(b, 4)), "/x", false) })
 	for _, loops := range []int{1, 2, 4} {
 		b.Run(fmt.Sprintf("entry/%d loops", loops), func(b *testing.B) {
-			addr, _ := entry(b, upstreams(b, 4), loops)
-			load(b, addr, "/x", false)
+			addr, _ := startServingEntry(b, startUpstreams(b, 4), loops)
+			runLoad(b, addr, "/x", false)
 		})
 	}
 	for _, one := range []string{"direct", "plain", "entry"} {
-		b.Run("single caller/"+one, func(b *testing.B) { loadOne(b, target(b, one)) })
+		b.Run("single caller/"+one, func(b *testing.B) { runSequentialLoad(b, startTarget(b, one)) })
 	}
 	b.Run("entry/payments", func(b *testing.B) {
-		addr, _ := entry(b, upstreams(b, 4), 2)
-		load(b, addr, "/pay", true)
+		addr, _ := startServingEntry(b, startUpstreams(b, 4), 2)
+		runLoad(b, addr, "/pay", true)
 	})
 }
 
-// BenchmarkIdleCallers is the memory of connections without a request.
+// BenchmarkIdleCallers measures the memory per idle connection.
 func BenchmarkIdleCallers(b *testing.B) {
-	const conns = 5_000 // three descriptors each in this one process
-	addr, _ := entry(b, upstreams(b, 1), 2)
+	const conns = 5_000 // each needs three file descriptors in this process
+	addr, _ := startServingEntry(b, startUpstreams(b, 1), 2)
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
@@ -249,22 +254,22 @@
 	b.ReportMetric(float64(used)/conns, "bytes/conn")
 }
 
-// target starts what is measured and returns its address.
-func target(b *testing.B, name string) string {
+// startTarget starts the given target of a benchmark and returns its address.
+func startTarget(b *testing.B, name string) string {
 	switch name {
 	case "direct":
-		return upstreams(b, 1)[0]
+		return startUpstreams(b, 1)[0]
 	case "plain":
-		return plainHop(b, upstreams(b, 4))
+		return startPlainProxy(b, startUpstreams(b, 4))
 	default:
-		addr, _ := entry(b, upstreams(b, 4), 2)
+		addr, _ := startServingEntry(b, startUpstreams(b, 4), 2)
 		return addr
 	}
 }
 
-// loadOne sends one request after another: the latency that a hop adds to a
-// machine that is not busy.
-func loadOne(b *testing.B, addr string) {
+// runSequentialLoad sends requests one after the other and reports the latency on a machine
+// that is not busy.
+func runSequentialLoad(b *testing.B, addr string) {
 	client := &fasthttp.HostClient{Addr: addr, MaxIdemponentCallAttempts: 1}
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
 	req.SetRequestURI("http://" + addr + "/x")
@@ -281,15 +286,15 @@
 	b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99µs")
 }
 
-// BenchmarkInForce is the time from an operator's call until all of 8 entries
-// decide by the new revision, with 1.5 ms for each call of the log service.
+// BenchmarkInForce measures the time from an operator's call until all of 8 entries use the
+// new revision of the configuration. Each call of the log service takes 1.5 ms.
 func BenchmarkInForce(b *testing.B) {
 	p := &platform{LogService: jaystandin.NewLogService()}
 	p.SetFaults(jaystandin.LogFaults{Delay: 1500 * time.Microsecond})
 	var entries []*jayentry.Entry
 	var operators string
 	for range 8 {
-		e, o := start(b, p, 1)
+		e, o := startEntry(b, p, 1)
 		entries = append(entries, e)
 		operators = "http://" + o.OperatorAddr
 	}
@@ -309,7 +314,7 @@
 			}
 		}
 		took = append(took, time.Since(began))
-		time.Sleep(50 * time.Millisecond) // 20 changes a second at the most
+		time.Sleep(50 * time.Millisecond) // limits the rate to 20 changes per second
 	}
 	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
 	b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "p50ms")
