--- a/jayreplay/crash_test.go
+++ b/jayreplay/crash_test.go
@@ -59,7 +59,7 @@
 // again and again, until its pool has no workers left.
 func TestCrashingTasksAreGivenUp(t *testing.T) {
 	for _, jobs := range []int{1, 5, 20} {
-		t.Run(fmt.Sprint(jobs, " such jobs in a rush"), func(t *testing.T) {
+		t.Run(fmt.Sprint(jobs, " crashing jobs in a load peak"), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			r := Play(fourPeaks(1, withCrashingJobs(jobs, 8*time.Millisecond)))
@@ -85,7 +85,7 @@
 // workers fail one after the other during a load peak of their pool.
 func TestJobsAreNotGivenUpForUnrelatedWorkerLosses(t *testing.T) {
 	for _, pause := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond} {
-		t.Run(fmt.Sprint("every ", pause), func(t *testing.T) {
+		t.Run(fmt.Sprint("one outage every ", pause), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			r := Play(fourPeaks(1, func(_ *Turns, l *Load) {
--- a/jayreplay/simulation_test.go
+++ b/jayreplay/simulation_test.go
@@ -41,7 +41,7 @@
 	// runs end and are repeated, and the pool never catches up. It happened with a fixed
 	// bound on timeouts, a report for every end of a run, and all starts sent at once.
 	behind := func(rate, served float64) {
-		t.Run(fmt.Sprintf("%.0f bytes a second", rate), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%.0f bytes per second", rate), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			r := Play(fourPeaks(1, withLinkRate(rate)))
