--- a/jaystandin/ledger_test.go
+++ b/jaystandin/ledger_test.go
@@ -13,7 +13,7 @@
 // The demo's checks rely on the ledger, so each counter has to detect its violation.
 
 func TestLedgerCountsViolations(t *testing.T) {
-	t.Run("a key that runs twice", func(t *testing.T) {
+	t.Run("key runs twice", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLedger()
 		l.recordRun("a", "key")
@@ -22,7 +22,7 @@
 		l.recordRun("c", "key")
 		is.Equal(l.Counters().DoubledRuns, 1)
 	})
-	t.Run("a pool below its minimum, once until it holds again", func(t *testing.T) {
+	t.Run("service below its minimum counts once per breach", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLedger()
 		l.SetMinimum("seats", 7)
@@ -31,7 +31,7 @@
 		}
 		is.Equal(l.Counters().BudgetBreaches, 2)
 	})
-	t.Run("a worker of two pools at once, or back in one that it left", func(t *testing.T) {
+	t.Run("worker is used by two pools at once or by a former pool", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLedger()
 		l.recordRequestStart("w", "seats")
@@ -41,7 +41,7 @@
 		l.recordRequestStart("w", "seats") // while a request of fees is in flight
 		is.Equal(l.Counters().PoolOverlaps, 1)
 	})
-	t.Run("a task on two workers", func(t *testing.T) {
+	t.Run("task runs on two workers", func(t *testing.T) {
 		is := is.New(t)
 		l := NewLedger()
 		l.recordTaskStart("index/0", "a")
@@ -65,32 +65,32 @@
 		status, body, err := fasthttp.GetTimeout(nil, "http://"+w.report().Addr+"/x", time.Second)
 		return status, string(body), err
 	}
-	t.Run("none", func(t *testing.T) {
+	t.Run("no fault", func(t *testing.T) {
 		is := is.New(t)
 		status, body, err := get()
 		is.NoErr(err)
 		is.Equal(status, 200)
 		is.Equal(body, Answer("", nil, 0))
 	})
-	t.Run("refusing", func(t *testing.T) {
+	t.Run("requests are refused", func(t *testing.T) {
 		is := is.New(t)
 		w.SetFaults(WorkerFaults{Refuse: true})
 		status, _, err := get()
 		is.NoErr(err)
 		is.Equal(status, 503)
 	})
-	t.Run("cutting answers", func(t *testing.T) {
+	t.Run("responses are interrupted", func(t *testing.T) {
 		w.SetFaults(WorkerFaults{CutAnswers: true})
 		_, _, err := get()
 		is.New(t).True(err != nil)
 	})
-	t.Run("failing every start", func(t *testing.T) {
+	t.Run("starts fail", func(t *testing.T) {
 		is := is.New(t)
 		w.SetFaults(WorkerFaults{FailStarts: true})
 		is.NoErr(f.Do("seats-1", 1, jayplatform.StartTask{Job: "index"}))
 		is.Equal(w.report().Tasks[0].State, jayplatform.TaskFailed)
 	})
-	t.Run("a start that comes after its stop", func(t *testing.T) {
+	t.Run("start arrives after its stop", func(t *testing.T) {
 		is := is.New(t)
 		w.SetFaults(WorkerFaults{})
 		is.NoErr(f.Do("seats-1", 2, jayplatform.StopTask{Job: "late"}))
@@ -99,7 +99,7 @@
 		is.NoErr(f.Do("seats-1", 3, jayplatform.StartTask{Job: "late"}))
 		is.Equal(w.report().Tasks[1].State, jayplatform.TaskRunning)
 	})
-	t.Run("a planned stop counts what it cuts", func(t *testing.T) {
+	t.Run("planned stop counts interrupted requests", func(t *testing.T) {
 		is := is.New(t)
 		w.SetFaults(WorkerFaults{})
 		w.inFlight.Add(2)
