--- a/jaydemo/demo_test.go
+++ b/jaydemo/demo_test.go
@@ -25,10 +25,10 @@
 }
 
 func TestInjectedViolationsAreReported(t *testing.T) {
-	t.Run("a payment that runs twice", func(t *testing.T) {
+	t.Run("payment runs twice", func(t *testing.T) {
 		is.New(t).True(slices.Contains(runDemo(t, "runTwice").Broken(), "doubledRuns"))
 	})
-	t.Run("an unknown way", func(t *testing.T) {
+	t.Run("unknown violation", func(t *testing.T) {
 		_, err := Run(context.Background(), Options{Profile: Mesob(), Break: "everything"})
 		is.New(t).True(errors.Is(err, ErrBreak))
 	})
