--- a/jayoptions/options.go
+++ b/jayoptions/options.go
@@ -1,5 +1,5 @@
-// Package jayoptions holds the settings of an entry instance, their defaults
-// and their parser.
+// Package jayoptions defines the settings of an entry instance with their defaults,
+// and parses and validates them.
 package jayoptions
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Duration is a time.Duration that is written as text, such as "250ms".
+// Duration is a time.Duration that is encoded in JSON as a string such as "250ms".
 type Duration time.Duration
 
-// UnmarshalJSON reads a duration such as "2s".
+// UnmarshalJSON parses a duration such as "2s".
 func (d *Duration) UnmarshalJSON(text []byte) error {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -24,38 +24,42 @@
 	return nil
 }
 
-// MarshalJSON writes the duration as text.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// Options are all settings of one entry instance.
+// Options holds all settings of one entry instance.
 type Options struct {
-	// Entry is the instance's identity; empty makes a new one at each start.
+	// Entry is the instance's identity. If it is empty, a new identity is generated
+	// at each start.
 	Entry string `json:"entry"`
 	// DataCenter is the failure domain in which the instance runs.
 	DataCenter string `json:"dataCenter"`
-	// CallerAddr, OperatorAddr and PeerAddr are the IP:PORT to listen on.
+	// CallerAddr, OperatorAddr and PeerAddr are the IP:PORT addresses to listen on.
 	CallerAddr   string `json:"callerAddr"`
 	OperatorAddr string `json:"operatorAddr"`
 	PeerAddr     string `json:"peerAddr"`
-	// PeerSeeds are peer addresses to ask for the state while the log service
-	// is down.
+	// PeerSeeds are the peer addresses from which the state is fetched while the
+	// log service is unavailable.
 	PeerSeeds []string `json:"peerSeeds"`
-	// PlatformURL is the base URL of log service, instance list and workers.
+	// PlatformURL is the base URL of the log service, the instance list and the
+	// workers.
 	PlatformURL string `json:"platformUrl"`
-	// OperatorToken is the bearer token of the operator API. It may be empty
-	// only on loopback.
+	// OperatorToken is the bearer token of the operator API. It may be empty only
+	// if OperatorAddr is a loopback address.
 	OperatorToken string `json:"operatorToken"`
-	// PeerCertFile, PeerKeyFile and PeerAuthorityFile turn on mutual TLS
-	// between entries. They may be empty only on loopback.
+	// PeerCertFile, PeerKeyFile and PeerAuthorityFile enable mutual TLS between
+	// entries. They may be empty only if PeerAddr is a loopback address or
+	// JobService.TrustedNetwork is set.
 	PeerCertFile      string `json:"peerCertFile"`
 	PeerKeyFile       string `json:"peerKeyFile"`
 	PeerAuthorityFile string `json:"peerAuthorityFile"`
 	LogLevel          string `json:"logLevel"`
 	LogFormat         string `json:"logFormat"`
 
-	// CallerHeader names the header in which the balancer says who calls.
+	// CallerHeader is the name of the header in which the load balancer identifies
+	// the caller.
 	CallerHeader string `json:"callerHeader"`
 
 	EventLoops       int      `json:"eventLoops"`
@@ -86,12 +90,13 @@
 	StopBound       Duration `json:"stopBound"`
 	PlatformTimeout Duration `json:"platformTimeout"`
 
-	// JobService turns the entry into one that schedules jobs on the users'
-	// platform.
+	// JobService configures job scheduling on the users' platform; it is disabled
+	// by default.
 	JobService JobService `json:"jobService"`
 }
 
-// New returns the defaults. Every default stands here and nowhere else.
+// New returns the default settings. All defaults are defined here and in
+// newJobService.
 func New() *Options {
 	return &Options{
 		DataCenter:   "dc1",
--- a/jayoptions/options_test.go
+++ b/jayoptions/options_test.go
@@ -11,14 +11,14 @@
 	"github.com/matryer/is"
 )
 
-func TestDefaultsAreGood(t *testing.T) {
+func TestDefaultsAreValid(t *testing.T) {
 	is := is.New(t)
 	got, err := Parse("entry.jsonc", []byte("{}"))
 	is.NoErr(err)
 	is.Equal(got, New())
 }
 
-func TestParseNamesThePlace(t *testing.T) {
+func TestParseReportsPosition(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"unknown field", `{"callerAdr": "127.0.0.1:1"}`, `entry.jsonc:1:2: unknown field "callerAdr"`},
 		{"no IP", "{\n  \"callerAddr\": \"localhost:80\"}", "entry.jsonc:2:17: /callerAddr"},
@@ -43,29 +43,29 @@
 	}
 }
 
-// TestReferenceIsComplete compares the operators' page with the struct: each
-// field stands there with its default.
-func TestReferenceIsComplete(t *testing.T) {
+// TestSettingsReferenceIsComplete checks that docs/operators/settings.md lists each
+// field of Options with its default.
+func TestSettingsReferenceIsComplete(t *testing.T) {
 	page, err := os.ReadFile("../docs/operators/settings.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, row := range rows("", reflect.ValueOf(*New())) {
+	for _, row := range settingsRows("", reflect.ValueOf(*New())) {
 		if !strings.Contains(string(page), row) {
 			t.Errorf("docs/operators/settings.md lacks the row %s", row)
 		}
 	}
 }
 
-// rows are the beginnings of the page's rows, a field each; those of a group
-// are named group.field.
-func rows(group string, defaults reflect.Value) []string {
+// settingsRows returns the beginning of the page's table row for each field. Fields
+// of a nested struct are named group.field.
+func settingsRows(group string, defaults reflect.Value) []string {
 	var all []string
 	for n := range defaults.NumField() {
 		name := group + defaults.Type().Field(n).Tag.Get("json")
 		field := defaults.Field(n)
 		if field.Kind() == reflect.Struct {
-			all = append(all, rows(name+".", field)...)
+			all = append(all, settingsRows(name+".", field)...)
 			continue
 		}
 		value := fmt.Sprint(field.Interface())
--- a/jayoptions/parser.go
+++ b/jayoptions/parser.go
@@ -15,7 +15,8 @@
 	"jaythread/jaydocument"
 )
 
-// ParseFile reads settings from a file over the defaults and checks them.
+// ParseFile reads settings from a file, applies them over the defaults and
+// validates the result.
 func ParseFile(path string) (*Options, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -24,8 +25,9 @@
 	return Parse(path, text)
 }
 
-// Parse reads settings over the defaults and checks them. An error is of type
-// jaydocument.Problems and names each place.
+// Parse reads settings, applies them over the defaults and validates the result. An
+// error in the settings is of type jaydocument.Problems and gives the position of
+// each problem.
 func Parse(file string, text []byte) (*Options, error) {
 	o := New()
 	d, err := jaydocument.Decode(file, text, o)
@@ -39,8 +41,8 @@
 	return o, nil
 }
 
-// LooksLikeSettings reports whether a text has a field of the settings at its
-// top, so that a checker can tell it from a fleet configuration.
+// LooksLikeSettings reports whether a document has a settings field at its top
+// level. It distinguishes settings from a fleet configuration.
 func LooksLikeSettings(text []byte) bool {
 	plain, err := hujson.Standardize(bytes.Clone(text))
 	if err != nil {
@@ -63,25 +65,25 @@
 	o.checkAddresses(d)
 	o.checkRanges(d)
 	o.JobService.check(d)
-	oneOf(d, "/logLevel", o.LogLevel, "debug", "info", "error")
-	oneOf(d, "/logFormat", o.LogFormat, "auto", "json", "text")
+	checkOneOf(d, "/logLevel", o.LogLevel, "debug", "info", "error")
+	checkOneOf(d, "/logFormat", o.LogFormat, "auto", "json", "text")
 	if o.PlatformURL == "" {
 		d.Add("/platformUrl", "is needed: the base URL of the platform")
 	}
 }
 
 func (o *Options) checkAddresses(d *jaydocument.Document) {
-	address(d, "/callerAddr", o.CallerAddr)
-	operatorOpen := address(d, "/operatorAddr", o.OperatorAddr)
-	if operatorOpen && o.OperatorToken == "" {
+	checkAddress(d, "/callerAddr", o.CallerAddr)
+	operatorExposed := checkAddress(d, "/operatorAddr", o.OperatorAddr)
+	if operatorExposed && o.OperatorToken == "" {
 		d.Add("/operatorAddr", "off loopback the operator API needs operatorToken")
 	}
-	peerOpen := address(d, "/peerAddr", o.PeerAddr)
-	if peerOpen && o.PeerCertFile == "" && !o.JobService.TrustedNetwork {
+	peerExposed := checkAddress(d, "/peerAddr", o.PeerAddr)
+	if peerExposed && o.PeerCertFile == "" && !o.JobService.TrustedNetwork {
 		d.Add("/peerAddr", "off loopback the peer link needs peerCertFile, peerKeyFile and peerAuthorityFile")
 	}
 	for n, seed := range o.PeerSeeds {
-		address(d, fmt.Sprintf("/peerSeeds/%d", n), seed)
+		checkAddress(d, fmt.Sprintf("/peerSeeds/%d", n), seed)
 	}
 	keys := o.PeerCertFile != "" && o.PeerKeyFile != "" && o.PeerAuthorityFile != ""
 	noKeys := o.PeerCertFile == "" && o.PeerKeyFile == "" && o.PeerAuthorityFile == ""
@@ -91,38 +93,39 @@
 }
 
 func (o *Options) checkRanges(d *jaydocument.Document) {
-	count(d, "/eventLoops", o.EventLoops, 1, 64)
-	count(d, "/maxRequestBytes", o.MaxRequestBytes, 1024, 64<<20)
-	count(d, "/bufferBytes", o.BufferBytes, 4096, 64<<20)
-	count(d, "/maxCallerConns", o.MaxCallerConns, 1, 1_000_000)
-	count(d, "/queuePerPool", o.QueuePerPool, 1, 100_000)
-	count(d, "/claimCopies", o.ClaimCopies, 1, 7)
-	count(d, "/storedAnswerBytes", o.StoredAnswerSize, 0, 1<<20)
-	count(d, "/snapshotEvery", o.SnapshotEvery, 10, 1_000_000)
+	checkCount(d, "/eventLoops", o.EventLoops, 1, 64)
+	checkCount(d, "/maxRequestBytes", o.MaxRequestBytes, 1024, 64<<20)
+	checkCount(d, "/bufferBytes", o.BufferBytes, 4096, 64<<20)
+	checkCount(d, "/maxCallerConns", o.MaxCallerConns, 1, 1_000_000)
+	checkCount(d, "/queuePerPool", o.QueuePerPool, 1, 100_000)
+	checkCount(d, "/claimCopies", o.ClaimCopies, 1, 7)
+	checkCount(d, "/storedAnswerBytes", o.StoredAnswerSize, 0, 1<<20)
+	checkCount(d, "/snapshotEvery", o.SnapshotEvery, 10, 1_000_000)
 	if o.RetryShare < 0 || o.RetryShare > 1 {
 		d.Add("/retryShare", "%v is outside 0 to 1", o.RetryShare)
 	}
-	span(d, "/queueTime", o.QueueTime, time.Millisecond, time.Minute)
-	span(d, "/requestTimeout", o.RequestTimeout, 10*time.Millisecond, 10*time.Minute)
-	span(d, "/callerIdle", o.CallerIdle, time.Second, time.Hour)
-	span(d, "/upstreamIdle", o.UpstreamIdle, 100*time.Millisecond, 10*time.Minute)
-	span(d, "/dialTimeout", o.DialTimeout, time.Millisecond, time.Minute)
-	span(d, "/claimWindow", o.ClaimWindow, time.Second, 24*time.Hour)
-	span(d, "/claimLogTimeout", o.ClaimLogTimeout, 10*time.Millisecond, time.Minute)
-	span(d, "/heartbeatEvery", o.HeartbeatEvery, 10*time.Millisecond, time.Second)
-	span(d, "/peerTimeout", o.PeerTimeout, 50*time.Millisecond, 10*time.Second)
-	span(d, "/plannerTerm", o.PlannerTerm, 500*time.Millisecond, time.Minute)
-	span(d, "/planEvery", o.PlanEvery, 10*time.Millisecond, time.Minute)
-	span(d, "/rebootTimeout", o.RebootTimeout, time.Second, 24*time.Hour)
-	span(d, "/settleTime", o.SettleTime, 0, time.Hour)
-	span(d, "/taskLease", o.TaskLease, 100*time.Millisecond, time.Hour)
-	span(d, "/stopGrace", o.StopGrace, 0, time.Minute)
-	span(d, "/stopBound", o.StopBound, time.Second, time.Hour)
-	span(d, "/platformTimeout", o.PlatformTimeout, 50*time.Millisecond, time.Minute)
+	checkDuration(d, "/queueTime", o.QueueTime, time.Millisecond, time.Minute)
+	checkDuration(d, "/requestTimeout", o.RequestTimeout, 10*time.Millisecond, 10*time.Minute)
+	checkDuration(d, "/callerIdle", o.CallerIdle, time.Second, time.Hour)
+	checkDuration(d, "/upstreamIdle", o.UpstreamIdle, 100*time.Millisecond, 10*time.Minute)
+	checkDuration(d, "/dialTimeout", o.DialTimeout, time.Millisecond, time.Minute)
+	checkDuration(d, "/claimWindow", o.ClaimWindow, time.Second, 24*time.Hour)
+	checkDuration(d, "/claimLogTimeout", o.ClaimLogTimeout, 10*time.Millisecond, time.Minute)
+	checkDuration(d, "/heartbeatEvery", o.HeartbeatEvery, 10*time.Millisecond, time.Second)
+	checkDuration(d, "/peerTimeout", o.PeerTimeout, 50*time.Millisecond, 10*time.Second)
+	checkDuration(d, "/plannerTerm", o.PlannerTerm, 500*time.Millisecond, time.Minute)
+	checkDuration(d, "/planEvery", o.PlanEvery, 10*time.Millisecond, time.Minute)
+	checkDuration(d, "/rebootTimeout", o.RebootTimeout, time.Second, 24*time.Hour)
+	checkDuration(d, "/settleTime", o.SettleTime, 0, time.Hour)
+	checkDuration(d, "/taskLease", o.TaskLease, 100*time.Millisecond, time.Hour)
+	checkDuration(d, "/stopGrace", o.StopGrace, 0, time.Minute)
+	checkDuration(d, "/stopBound", o.StopBound, time.Second, time.Hour)
+	checkDuration(d, "/platformTimeout", o.PlatformTimeout, 50*time.Millisecond, time.Minute)
 }
 
-// address checks IP:PORT and returns true if it is reachable off loopback.
-func address(d *jaydocument.Document, pointer, value string) bool {
+// checkAddress checks that a value has the form IP:PORT and reports whether it is
+// reachable off loopback.
+func checkAddress(d *jaydocument.Document, pointer, value string) bool {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil {
 		d.Add(pointer, "%q is not IP:PORT", value)
@@ -136,20 +139,20 @@
 	return !ip.IsLoopback()
 }
 
-func count(d *jaydocument.Document, pointer string, value, low, high int) {
+func checkCount(d *jaydocument.Document, pointer string, value, low, high int) {
 	if value < low || value > high {
 		d.Add(pointer, "%d is outside %d to %d", value, low, high)
 	}
 }
 
-func span(d *jaydocument.Document, pointer string, value Duration, low, high time.Duration) {
+func checkDuration(d *jaydocument.Document, pointer string, value Duration, low, high time.Duration) {
 	got := time.Duration(value)
 	if got < low || got > high {
 		d.Add(pointer, "%s is outside %s to %s", got, low, high)
 	}
 }
 
-func oneOf(d *jaydocument.Document, pointer, value string, allowed ...string) {
+func checkOneOf(d *jaydocument.Document, pointer, value string, allowed ...string) {
 	for _, a := range allowed {
 		if value == a {
 			return
