--- a/jayconfig/check.go
+++ b/jayconfig/check.go
@@ -7,12 +7,13 @@
 	"jaythread/jayrule"
 )
 
+// Defaults of the limits of each instance of a pool.
 const (
 	defaultSlots       = 8
 	defaultConnections = 64
 )
 
-// reporter takes problems with the value at a JSON pointer.
+// reporter collects problems with the values at JSON pointers.
 type reporter interface {
 	Add(pointer, format string, args ...any)
 }
--- a/jayconfig/configuration.go
+++ b/jayconfig/configuration.go
@@ -1,19 +1,20 @@
-// Package jayconfig reads the declared fleet configuration: pools, budgets,
-// services, teams, jobs and rules. Operators keep it under version control.
+// Package jayconfig parses and validates the declared fleet configuration: pools,
+// budgets, teams, jobs and rules. Operators keep the configuration under version
+// control.
 package jayconfig
 
 import (
 	"time"
-	_ "time/tzdata" // Entry instances may have no time zone files.
+	_ "time/tzdata" // The hosts of entry instances may lack a time zone database.
 
 	"jaythread/jaydocument"
 	"jaythread/jaypool"
 	"jaythread/jayrule"
 )
 
-// Configuration is a whole declared configuration.
+// Configuration is a complete fleet configuration.
 type Configuration struct {
-	// TimeZone is the zone of all hours in rules, such as Africa/Addis_Ababa.
+	// TimeZone is the time zone of all hours in rules, such as Africa/Addis_Ababa.
 	TimeZone string       `json:"timeZone"`
 	Pools    []Pool       `json:"pools"`
 	Teams    []Team       `json:"teams"`
@@ -25,22 +26,25 @@
 	actions  map[string]jayrule.Action
 }
 
-// Pool declares a pool.
+// Pool declares a pool of instances with its budget and limits.
 type Pool struct {
 	Name string `json:"name"`
-	// Instances are patterns of identities. An instance joins the first pool
-	// that matches it.
+	// Instances holds patterns of instance identities. An instance joins the first
+	// pool with a pattern that matches it.
 	Instances []string `json:"instances"`
-	// MinAvailable instances stay available at all times.
+	// MinAvailable is the number of instances that must stay available at all
+	// times.
 	MinAvailable int `json:"minAvailable"`
-	// Survive is rack or dataCenter.
+	// Survive is the failure domain whose loss the pool must survive: rack or
+	// dataCenter; empty means rack.
 	Survive string `json:"survive"`
-	// Slots and Connections are limits of each instance.
+	// Slots and Connections limit the concurrent requests and the connections of
+	// each instance.
 	Slots       int `json:"slots"`
 	Connections int `json:"connections"`
 }
 
-// Team declares a quota.
+// Team declares the resource quota of a team.
 type Team struct {
 	Name            string  `json:"name"`
 	Processors      float64 `json:"processors"`
@@ -48,7 +52,7 @@
 	Accelerators    int64   `json:"accelerators"`
 }
 
-// Job declares tasks that a pool must carry.
+// Job declares tasks that run permanently in a pool.
 type Job struct {
 	Name            string  `json:"name"`
 	Pool            string  `json:"pool"`
@@ -60,8 +64,8 @@
 	Accelerators    int64   `json:"accelerators"`
 }
 
-// Parse reads and checks a configuration. An error is of type
-// jaydocument.Problems and names each place.
+// Parse parses and validates a configuration. An error is of type
+// jaydocument.Problems and gives the position of each problem.
 func Parse(file string, text []byte) (*Configuration, error) {
 	c := &Configuration{}
 	d, err := jaydocument.Decode(file, text, c)
@@ -81,13 +85,14 @@
 	return c.location
 }
 
-// Pool returns the declaration of a pool.
+// Pool returns the declaration of a pool, and whether it is declared.
 func (c *Configuration) Pool(name string) (*Pool, bool) {
 	p, ok := c.pools[name]
 	return p, ok
 }
 
-// Budget returns the budget of a pool; an undeclared pool promises nothing.
+// Budget returns the availability budget of a pool. The budget of an undeclared
+// pool is zero.
 func (c *Configuration) Budget(pool string) jaypool.Budget {
 	p, ok := c.pools[pool]
 	if !ok {
@@ -100,7 +105,8 @@
 	return b
 }
 
-// PoolOf returns the pool that an instance belongs to by its identity.
+// PoolOf returns the pool that an instance belongs to according to its identity,
+// and whether there is one.
 func (c *Configuration) PoolOf(instance string) (string, bool) {
 	for _, p := range c.Pools {
 		for _, pattern := range p.Instances {
@@ -112,7 +118,8 @@
 	return "", false
 }
 
-// Decide returns the action and the name of the first rule that matches.
+// Decide returns the action and the name of the first rule that matches, or nil and
+// an empty name if no rule matches.
 func (c *Configuration) Decide(s *jayrule.Subject) (jayrule.Action, string) {
 	rule, ok := c.Rules.Decide(s)
 	if !ok {
@@ -121,12 +128,12 @@
 	return c.actions[rule.Name], rule.Name
 }
 
-// Need returns what one task of the job declares to need.
+// Need returns the resources that one task of the job requires.
 func (j *Job) Need() jaypool.Resources {
 	return resources(j.Processors, j.MemoryGigabytes, j.Accelerators)
 }
 
-// Quota returns what the tasks of the team may hold together.
+// Quota returns the resources that all tasks of the team may hold together.
 func (t *Team) Quota() jaypool.Resources {
 	return resources(t.Processors, t.MemoryGigabytes, t.Accelerators)
 }
--- a/jayconfig/configuration_test.go
+++ b/jayconfig/configuration_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `{
+const validConfiguration = `{
   // a comment
   "timeZone": "Africa/Addis_Ababa",
   "pools": [{"name": "seats", "instances": ["seats-*"], "minAvailable": 2}],
@@ -18,7 +18,7 @@
   "rules": [{"name": "r", "about": "request", "then": {"route": "seats"}}],
 }`
 
-func TestParseNamesThePlace(t *testing.T) {
+func TestParseReportsPosition(t *testing.T) {
 	cases := []struct {
 		name, from, to, want string
 	}{
@@ -34,8 +34,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(good, c.from, c.to, 1)
-			is.True(text != good)
+			text := strings.Replace(validConfiguration, c.from, c.to, 1)
+			is.True(text != validConfiguration)
 			_, err := Parse("fleet.jsonc", []byte(text))
 			is.True(err != nil)
 			t.Log(err)
@@ -44,7 +44,7 @@
 	}
 	t.Run("good", func(t *testing.T) {
 		is := is.New(t)
-		c, err := Parse("fleet.jsonc", []byte(good))
+		c, err := Parse("fleet.jsonc", []byte(validConfiguration))
 		is.NoErr(err)
 		pool, ok := c.PoolOf("seats-07")
 		is.True(ok)
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestReadDirNamesTheFile(t *testing.T) {
+func TestReadDirReportsFile(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -69,10 +69,11 @@
 	is.True(strings.Contains(err.Error(), "3-rules.jsonc:2:"))
 }
 
-// FuzzConfiguration looks for texts that make the parser panic, and for ones
-// that are accepted without what the rest of the system relies on.
+// FuzzConfiguration checks that no input makes the parser panic, and that an
+// accepted configuration has a time zone, pools and an action for each rule, on
+// which the rest of the system relies.
 func FuzzConfiguration(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfiguration))
 	f.Add([]byte(`{"pools":[{"name":"a","instances":["*"]}],"rules":[{"name":"x","about":"wave","then":{"pauseWave":true}}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := Parse("fuzz", text)
--- a/jayconfig/path.go
+++ b/jayconfig/path.go
@@ -13,9 +13,10 @@
 	"jaythread/jaydocument"
 )
 
-// ReadPath reads a configuration from a file, or from all .json and .jsonc
-// files of a directory in the order of their names, and returns it with the
-// document to publish. A file is published as it is written, comments too.
+// ReadPath reads a configuration from a file, or from all .json and .jsonc files of
+// a directory in the order of their names. It returns the configuration and the
+// document to publish. A single file is published unchanged, with its comments; the
+// files of a directory are merged into one document without comments.
 func ReadPath(path string) (*Configuration, []byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -32,19 +33,19 @@
 	return c, text, err
 }
 
-// part is one file of a directory.
-type part struct {
+// sourceFile is one file of a directory with the part of the configuration that it
+// holds.
+type sourceFile struct {
 	document *jaydocument.Document
 	config   *Configuration
 }
 
-// parts reports a problem of the merged configuration at the file and place
-// that its element came from.
-type parts []part
+// sourceFiles reports a problem of the merged configuration with the file and
+// position that the element comes from.
+type sourceFiles []sourceFile
 
-// Add reports a problem with the value at a pointer of the merged
-// configuration.
-func (p parts) Add(pointer, format string, args ...any) {
+// Add reports a problem with the value at a pointer of the merged configuration.
+func (p sourceFiles) Add(pointer, format string, args ...any) {
 	section, rest, _ := strings.Cut(strings.TrimPrefix(pointer, "/"), "/")
 	number, field, _ := strings.Cut(rest, "/")
 	n, err := strconv.Atoi(number)
@@ -67,7 +68,7 @@
 	}
 }
 
-func (p parts) err() error {
+func (p sourceFiles) err() error {
 	var problems jaydocument.Problems
 	for _, one := range p {
 		if found, ok := one.document.Err().(jaydocument.Problems); ok {
@@ -102,13 +103,13 @@
 	}
 	slices.Sort(names)
 	merged := &Configuration{}
-	var all parts
+	var all sourceFiles
 	for _, name := range names {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			return nil, nil, oops.In("configuration").Wrap(err)
 		}
-		one := part{config: &Configuration{}}
+		one := sourceFile{config: &Configuration{}}
 		one.document, err = jaydocument.Decode(name, text, one.config)
 		if err != nil {
 			return nil, nil, err
