--- a/jayapi/api_test.go
+++ b/jayapi/api_test.go
@@ -22,30 +22,30 @@
     {"name": "pay", "about": "request", "when": {"method": ["POST"]}, "then": {"route": "fees"}},
     {"name": "read", "about": "request", "when": {"path": ["/seats/*"]}, "then": {"route": "seats", "idempotent": true}}]}`
 
-// backend is a state that folds what is proposed at once.
-type backend struct {
+// fakeBackend applies each proposed command to its state immediately.
+type fakeBackend struct {
 	mu    sync.Mutex
 	state *jaystate.State
 	down  bool
 }
 
-func (b *backend) Self() string                 { return "entry" }
-func (b *backend) Revisions() map[string]uint64 { return map[string]uint64{"entry": 1, "other": 0} }
+func (b *fakeBackend) Self() string                 { return "entry" }
+func (b *fakeBackend) Revisions() map[string]uint64 { return map[string]uint64{"entry": 1, "other": 0} }
 
-func (b *backend) Ready() error {
+func (b *fakeBackend) Ready() error {
 	if b.state.Configuration() == nil {
 		return errors.New("no configuration")
 	}
 	return nil
 }
 
-func (b *backend) Read(visit func(*jaystate.State)) {
+func (b *fakeBackend) Read(visit func(*jaystate.State)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	visit(b.state)
 }
 
-func (b *backend) Propose(c *jaywire.Command, _ time.Duration) (jaystate.Outcome, error) {
+func (b *fakeBackend) Propose(c *jaywire.Command, _ time.Duration) (jaystate.Outcome, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.down {
@@ -62,10 +62,10 @@
 	return outcomes[0], nil
 }
 
-// newAPI serves an interface on loopback.
-func newAPI(t *testing.T, token string) (*backend, string) {
+// newAPI serves the operator API on loopback and returns its backend and base URL.
+func newAPI(t *testing.T, token string) (*fakeBackend, string) {
 	t.Helper()
-	b := &backend{state: jaystate.New()}
+	b := &fakeBackend{state: jaystate.New()}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,8 @@
 	return b, "http://" + listener.Addr().String()
 }
 
-func applied(t *testing.T) (*backend, *Client) {
+// newConfiguredAPI returns an API with a published configuration and three instances.
+func newConfiguredAPI(t *testing.T) (*fakeBackend, *Client) {
 	t.Helper()
 	b, base := newAPI(t, "")
 	c := NewClient(base, "", "aster")
@@ -92,7 +93,7 @@
 	return b, c
 }
 
-func refused(t *testing.T, err error) *Refused {
+func requireRefused(t *testing.T, err error) *Refused {
 	t.Helper()
 	var r *Refused
 	if !errors.As(err, &r) {
@@ -104,32 +105,32 @@
 func TestPublish(t *testing.T) {
 	t.Run("a conflict shows the other side", func(t *testing.T) {
 		is := is.New(t)
-		_, c := applied(t)
+		_, c := newConfiguredAPI(t)
 		_, err := c.Publish(Publish{Replaces: 0, Message: "late", Document: document})
-		r := refused(t, err)
+		r := requireRefused(t, err)
 		is.Equal(r.Status, 409)
 		is.Equal(r.Problem.InForce.Revision, uint64(1))
 		is.Equal(r.Problem.InForce.Author, "aster")
 	})
 	t.Run("an invalid document names the place", func(t *testing.T) {
 		is := is.New(t)
-		_, c := applied(t)
+		_, c := newConfiguredAPI(t)
 		_, err := c.Publish(Publish{Replaces: 1, Document: `{"pools": 3}`})
 		is.True(err != nil)
-		is.Equal(refused(t, err).Status, 422)
+		is.Equal(requireRefused(t, err).Status, 422)
 	})
 	t.Run("an outage leaves the outcome open", func(t *testing.T) {
 		is := is.New(t)
-		b, c := applied(t)
+		b, c := newConfiguredAPI(t)
 		b.down = true
 		_, err := c.Publish(Publish{Replaces: 1, Document: document})
-		r := refused(t, err)
+		r := requireRefused(t, err)
 		is.Equal(r.Status, 504)
 		is.True(r.Problem.MayHaveTakenEffect)
 	})
 	t.Run("in force is asked of each entry", func(t *testing.T) {
 		is := is.New(t)
-		_, c := applied(t)
+		_, c := newConfiguredAPI(t)
 		answer, err := c.InForce(1)
 		is.NoErr(err)
 		is.True(!answer.Everywhere)
@@ -139,11 +140,11 @@
 
 func TestWaves(t *testing.T) {
 	is := is.New(t)
-	_, c := applied(t)
+	_, c := newConfiguredAPI(t)
 	_, err := c.StartWave(Wave{Wave: "w"})
 	is.NoErr(err)
 	_, err = c.StartWave(Wave{Wave: "w2", Pools: []string{"seats"}})
-	is.Equal(refused(t, err).Status, 422) // the pool is in a wave
+	is.Equal(requireRefused(t, err).Status, 422) // the pool already belongs to a wave
 	for _, verb := range []string{"pause", "resume", "cancel"} {
 		_, err = c.SetWave("w", verb)
 		is.NoErr(err)
@@ -151,7 +152,7 @@
 	_, err = c.SetWave("w", "resume")
 	is.True(err != nil)
 	_, err = c.SetWave("w", "explode")
-	is.Equal(refused(t, err).Status, 400)
+	is.Equal(requireRefused(t, err).Status, 400)
 	status, err := c.Status()
 	is.NoErr(err)
 	is.Equal(status.Waves[0].Phase, "cancelled")
@@ -160,20 +161,20 @@
 
 func TestOperatorCalls(t *testing.T) {
 	is := is.New(t)
-	_, c := applied(t)
+	_, c := newConfiguredAPI(t)
 	_, err := c.Move(Move{Instance: "seats-1", Pool: "fees"})
 	is.NoErr(err)
 	_, err = c.Move(Move{Instance: "seats-2", Pool: "fees"})
-	is.True(err != nil) // the budget would not survive a rack
+	is.True(err != nil) // the pool would not survive the loss of a rack
 	_, err = c.Quarantine("nowhere", "set")
 	is.True(err != nil)
 	_, err = c.ReleaseJob("nothing")
 	is.True(err != nil)
 }
 
-func TestAuditHoldsRefusals(t *testing.T) {
+func TestAuditIncludesRejectedChanges(t *testing.T) {
 	is := is.New(t)
-	_, c := applied(t)
+	_, c := newConfiguredAPI(t)
 	_, err := c.Move(Move{Instance: "seats-1", Pool: "nowhere"})
 	is.True(err != nil)
 	entries, err := c.Audit(AuditFilter{Kind: "move", Actor: "aster"})
@@ -184,18 +185,18 @@
 
 func TestExplain(t *testing.T) {
 	is := is.New(t)
-	_, c := applied(t)
+	_, c := newConfiguredAPI(t)
 	answer, err := c.Explain(Explain{Method: "GET", Path: "/seats/1"})
 	is.NoErr(err)
 	is.Equal(answer.Rule, "read")
 	is.Equal(answer.Traces[0].Why, "method")
 	_, err = c.Explain(Explain{Path: "/", Time: "noon"})
-	is.Equal(refused(t, err).Status, 400)
+	is.Equal(requireRefused(t, err).Status, 400)
 }
 
-func TestPlanIsADryRun(t *testing.T) {
+func TestPlanChangesNoState(t *testing.T) {
 	is := is.New(t)
-	b, c := applied(t)
+	b, c := newConfiguredAPI(t)
 	before := b.state.Offset
 	plan, err := c.Plan([]string{"seats"}, time.Minute)
 	is.NoErr(err)
@@ -206,17 +207,17 @@
 	is.Equal(i.MaintainedIn, "")
 }
 
-func TestWhoMayCall(t *testing.T) {
+func TestAuthorization(t *testing.T) {
 	is := is.New(t)
 	_, base := newAPI(t, "secret")
 	_, err := NewClient(base, "", "a").Status()
-	is.Equal(refused(t, err).Status, 401)
+	is.Equal(requireRefused(t, err).Status, 401)
 	_, err = NewClient(base, "wrong", "a").Status()
-	is.Equal(refused(t, err).Status, 401)
+	is.Equal(requireRefused(t, err).Status, 401)
 	_, err = NewClient(base, "secret", "a").Status()
 	is.NoErr(err)
 	_, err = NewClient(base, "secret", "").StartWave(Wave{Wave: "w"})
-	is.Equal(refused(t, err).Status, 400) // each write says who
+	is.Equal(requireRefused(t, err).Status, 400) // a write must identify the actor
 	status, _, err := fasthttp.Get(nil, base+"/healthz")
 	is.NoErr(err)
 	is.Equal(status, 200)
--- a/jayapi/audit.go
+++ b/jayapi/audit.go
@@ -27,7 +27,7 @@
 			}
 		}
 	})
-	return answerJSON(ctx, entries)
+	return writeJSON(ctx, entries)
 }
 
 func auditEntry(e *jaywire.AuditEntry) AuditEntry {
--- a/jayapi/client.go
+++ b/jayapi/client.go
@@ -12,21 +12,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Refused is a call that the entry answered with a problem.
+// Refused is the error of a call to which the entry responded with a problem.
 type Refused struct {
 	Status  int
 	Problem Problem
 }
 
-// Error returns the entry's reason.
+// Error returns the problem's message.
 func (r *Refused) Error() string {
 	return r.Problem.Error
 }
 
-// ErrNoEntry means that the entry did not answer.
+// ErrNoEntry is returned if the entry does not respond.
 var ErrNoEntry = errors.New("entry instance does not answer")
 
-// Client calls an entry's operator interface.
+// Client calls the operator API of an entry.
 type Client struct {
 	base  string
 	token string
@@ -34,7 +34,8 @@
 	http  *fasthttp.Client
 }
 
-// NewClient returns a client; actor is who asks, for the audit trail.
+// NewClient returns a client of the operator API at a base URL. The token may be
+// empty; actor identifies the user in the audit trail.
 func NewClient(base, token, actor string) *Client {
 	return &Client{
 		base:  strings.TrimSuffix(base, "/"),
@@ -44,7 +45,7 @@
 	}
 }
 
-// Status returns the state of the fleet.
+// Status returns the state of the fleet as the entry knows it.
 func (c *Client) Status() (*Status, error) {
 	var s Status
 	return &s, c.get("/v1/status", &s)
@@ -56,49 +57,52 @@
 	return &config, c.get("/v1/configuration", &config)
 }
 
-// Publish replaces the configuration.
+// Publish replaces the configuration. It is refused if another revision than
+// p.Replaces is in force.
 func (c *Client) Publish(p Publish) (*Decided, error) {
 	var d Decided
 	return &d, c.post("/v1/configuration", p, &d)
 }
 
-// InForce says which entries have a revision in force.
+// InForce returns the revision that each live entry has in force, and whether all
+// of them have reached the given one.
 func (c *Client) InForce(revision uint64) (*InForce, error) {
 	var f InForce
 	return &f, c.get("/v1/inForce?revision="+strconv.FormatUint(revision, 10), &f)
 }
 
-// StartWave starts a maintenance wave.
+// StartWave starts a maintenance wave. Without pools, the wave covers all pools.
 func (c *Client) StartWave(w Wave) (*Decided, error) {
 	var d Decided
 	return &d, c.post("/v1/waves", w, &d)
 }
 
-// SetWave pauses, resumes or cancels a wave.
+// SetWave changes the phase of a wave; verb is pause, resume or cancel.
 func (c *Client) SetWave(wave, verb string) (*Decided, error) {
 	var d Decided
 	return &d, c.post("/v1/waves/"+url.PathEscape(wave)+"/"+verb, struct{}{}, &d)
 }
 
-// Move moves an instance to another pool.
+// Move starts the move of an instance to another pool.
 func (c *Client) Move(m Move) (*Decided, error) {
 	var d Decided
 	return &d, c.post("/v1/moves", m, &d)
 }
 
-// ReleaseJob takes a parked job back into placement.
+// ReleaseJob releases a parked job, so that its tasks are placed again.
 func (c *Client) ReleaseJob(job string) (*Decided, error) {
 	var d Decided
 	return &d, c.post("/v1/jobs/"+url.PathEscape(job)+"/release", struct{}{}, &d)
 }
 
-// Quarantine sets or lifts an instance's quarantine.
+// Quarantine changes the quarantine of an instance; verb is set or lift.
 func (c *Client) Quarantine(instance, verb string) (*Decided, error) {
 	var d Decided
 	return &d, c.post("/v1/quarantine/"+url.PathEscape(instance)+"/"+verb, struct{}{}, &d)
 }
 
-// AuditFilter selects audit entries; empty fields select all.
+// AuditFilter selects audit entries. An empty field matches all entries; Subject
+// and Actor match substrings.
 type AuditFilter struct {
 	From    uint64
 	Kind    string
@@ -106,7 +110,7 @@
 	Actor   string
 }
 
-// Audit returns audit entries, oldest first.
+// Audit returns the audit entries that match a filter, oldest first.
 func (c *Client) Audit(f AuditFilter) ([]AuditEntry, error) {
 	query := url.Values{}
 	query.Set("from", strconv.FormatUint(f.From, 10))
@@ -118,13 +122,16 @@
 	return entries, err
 }
 
-// Explain says which rule decides on a request.
+// Explain returns the rule that applies to a request, and why earlier rules do not
+// match.
 func (c *Client) Explain(q Explain) (*Explained, error) {
 	var e Explained
 	return &e, c.post("/v1/explain", q, &e)
 }
 
-// Plan returns a dry run of a wave over pools; none means all.
+// Plan simulates a wave over the given pools, or over all pools if none is given,
+// and returns its steps. The step argument is the duration of one step; zero
+// selects the server's default.
 func (c *Client) Plan(pools []string, step time.Duration) (*Plan, error) {
 	query := url.Values{}
 	query.Set("pools", strings.Join(pools, ","))
--- a/jayapi/configuration.go
+++ b/jayapi/configuration.go
@@ -9,7 +9,7 @@
 )
 
 func (s *Server) handleConfiguration(ctx *fasthttp.RequestCtx) error {
-	return answerJSON(ctx, s.inForce())
+	return writeJSON(ctx, s.inForce())
 }
 
 func (s *Server) inForce() *Configuration {
@@ -28,7 +28,8 @@
 	if err := readBody(ctx, &p); err != nil {
 		return err
 	}
-	// The fold checks the document again; refusing it here saves an append.
+	// The document is checked again when the command is applied to the state;
+	// refusing it here saves a write to the log.
 	if _, err := jayconfig.Parse("configuration", []byte(p.Document)); err != nil {
 		return err
 	}
@@ -42,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	return answerJSON(ctx, Decided{Offset: outcome.Offset, Revision: outcome.Offset + 1})
+	return writeJSON(ctx, Decided{Offset: outcome.Offset, Revision: outcome.Offset + 1})
 }
 
 func (s *Server) handleInForce(ctx *fasthttp.RequestCtx) error {
@@ -54,5 +55,5 @@
 	for _, in := range answer.Entries {
 		answer.Everywhere = answer.Everywhere && in >= revision
 	}
-	return answerJSON(ctx, answer)
+	return writeJSON(ctx, answer)
 }
--- a/jayapi/explain.go
+++ b/jayapi/explain.go
@@ -24,13 +24,13 @@
 		query.PoolStates = poolStates(state)
 	})
 	if config == nil {
-		return badCall{text: "no configuration is in force"}
+		return badRequest{text: "no configuration is in force"}
 	}
 	answer, err := ExplainRequest(config, query, time.Now())
 	if err != nil {
 		return err
 	}
-	return answerJSON(ctx, answer)
+	return writeJSON(ctx, answer)
 }
 
 func poolStates(state *jaystate.State) map[string]string {
@@ -43,13 +43,14 @@
 	return states
 }
 
-// ExplainRequest says which rule of a configuration decides on a request.
+// ExplainRequest returns the rule of a configuration that applies to a request, and
+// why earlier rules do not match. The time is now unless the query gives one.
 func ExplainRequest(config *jayconfig.Configuration, q Explain, now time.Time) (*Explained, error) {
 	at := now.In(config.Location())
 	if q.Time != "" {
 		clock, err := time.Parse("15:04", q.Time)
 		if err != nil {
-			return nil, badCall{text: "time is not HH:MM: " + q.Time}
+			return nil, badRequest{text: "time is not HH:MM: " + q.Time}
 		}
 		at = time.Date(at.Year(), at.Month(), at.Day(), clock.Hour(), clock.Minute(), 0, 0, at.Location())
 	}
--- a/jayapi/acts.go
+++ b/jayapi/operations.go
@@ -12,30 +12,30 @@
 	if err := readBody(ctx, &m); err != nil {
 		return err
 	}
-	return s.decide(ctx, &jaywire.Command{
+	return s.proposeByOperator(ctx, &jaywire.Command{
 		Base: s.versionOf(m.Instance),
 		Body: &jaywire.Command_DrainForMove{DrainForMove: &jaywire.DrainForMove{Instance: m.Instance, ToPool: m.Pool}},
 	})
 }
 
-// handleReleaseJob takes a parked job back into placement.
+// handleReleaseJob releases a parked job, so that its tasks are placed again.
 func (s *Server) handleReleaseJob(ctx *fasthttp.RequestCtx) error {
 	parts := pathParts(ctx)
 	if len(parts) != 2 || parts[1] != "release" {
-		return badCall{text: "want /v1/jobs/JOB/release"}
+		return badRequest{text: "want /v1/jobs/JOB/release"}
 	}
-	return s.decide(ctx, &jaywire.Command{
+	return s.proposeByOperator(ctx, &jaywire.Command{
 		Body: &jaywire.Command_ParkJob{ParkJob: &jaywire.ParkJob{Job: parts[0], Released: true}},
 	})
 }
 
-// handleQuarantine takes an instance out of service, or gives it back.
+// handleQuarantine puts an instance under quarantine or lifts its quarantine.
 func (s *Server) handleQuarantine(ctx *fasthttp.RequestCtx) error {
 	parts := pathParts(ctx)
 	if len(parts) != 2 || parts[1] != "set" && parts[1] != "lift" {
-		return badCall{text: "want /v1/quarantine/INSTANCE/set or lift"}
+		return badRequest{text: "want /v1/quarantine/INSTANCE/set or lift"}
 	}
-	return s.decide(ctx, &jaywire.Command{
+	return s.proposeByOperator(ctx, &jaywire.Command{
 		Base: s.versionOf(parts[0]),
 		Body: &jaywire.Command_QuarantineInstance{QuarantineInstance: &jaywire.QuarantineInstance{
 			Instance: parts[0],
@@ -54,10 +54,10 @@
 	return version
 }
 
-func (s *Server) decide(ctx *fasthttp.RequestCtx, c *jaywire.Command) error {
+func (s *Server) proposeByOperator(ctx *fasthttp.RequestCtx, c *jaywire.Command) error {
 	outcome, err := s.propose(ctx, "operator", c)
 	if err != nil {
 		return err
 	}
-	return answerJSON(ctx, Decided{Offset: outcome.Offset})
+	return writeJSON(ctx, Decided{Offset: outcome.Offset})
 }
--- a/jayapi/plan.go
+++ b/jayapi/plan.go
@@ -13,8 +13,9 @@
 	"jaythread/jaywave"
 )
 
-// defaultStep is the time of a step that a dry run assumes if not told.
-const defaultStep = 10 * time.Minute
+// defaultStepTime is the duration of a step that a dry run assumes if the request
+// gives none.
+const defaultStepTime = 10 * time.Minute
 
 func (s *Server) handlePlan(ctx *fasthttp.RequestCtx) error {
 	step, err := queryNumber(ctx, "stepMillis")
@@ -23,7 +24,7 @@
 	}
 	stepTime := time.Duration(step) * time.Millisecond
 	if stepTime == 0 {
-		stepTime = defaultStep
+		stepTime = defaultStepTime
 	}
 	pools := s.allPools()
 	if named := string(ctx.QueryArgs().Peek("pools")); named != "" {
@@ -31,10 +32,10 @@
 	}
 	var plan *Plan
 	s.backend.Read(func(state *jaystate.State) { plan = dryRun(state, pools, stepTime, time.Now()) })
-	return answerJSON(ctx, plan)
+	return writeJSON(ctx, plan)
 }
 
-// dryRun plays a wave on a copy of the fleet.
+// dryRun simulates a wave on a copy of the fleet.
 func dryRun(state *jaystate.State, pools []string, step time.Duration, now time.Time) *Plan {
 	config := state.Configuration()
 	if config == nil {
@@ -66,8 +67,8 @@
 	return plan
 }
 
-// afterMaintenance returns an instance as it will be when the steps that are
-// under way now have ended.
+// afterMaintenance returns an instance in the phase that it will have once its
+// current maintenance step has ended.
 func afterMaintenance(i jaypool.Instance) jaypool.Instance {
 	switch i.Phase {
 	case jaypool.Draining, jaypool.Rebooting, jaypool.Settling:
--- a/jayapi/server.go
+++ b/jayapi/server.go
@@ -17,16 +17,18 @@
 	"jaythread/jaywire"
 )
 
-// proposeTimeout bounds the wait for the fold's decision on a write.
+// proposeTimeout limits how long a write waits until the state machine has decided
+// on the proposed command.
 const proposeTimeout = 10 * time.Second
 
-// maxDocument bounds the body of a call.
-const maxDocument = 8 << 20
+// maxBodyBytes limits the body of a request, which may contain a whole
+// configuration document.
+const maxBodyBytes = 8 << 20
 
-// Backend is the entry behind the interface.
+// Backend is the entry instance that the API reads from and writes to.
 type Backend interface {
 	Self() string
-	// Ready returns why the entry does not serve, or nil.
+	// Ready returns the reason why the entry is not ready, or nil if it is.
 	Ready() error
 	Read(visit func(*jaystate.State))
 	Propose(c *jaywire.Command, timeout time.Duration) (jaystate.Outcome, error)
@@ -34,7 +36,7 @@
 	Revisions() map[string]uint64
 }
 
-// Server answers operators.
+// Server serves the operator API.
 type Server struct {
 	backend Backend
 	token   string
@@ -42,8 +44,8 @@
 	http    *fasthttp.Server
 }
 
-// NewServer returns a server. With an empty token everybody on the listener
-// may call it, which the settings allow only on loopback.
+// NewServer returns a server. With an empty token, the API is open to everyone who
+// can reach the listener; the settings allow this only on loopback.
 func NewServer(backend Backend, token string, registry *prometheus.Registry) *Server {
 	s := &Server{
 		backend: backend,
@@ -53,29 +55,29 @@
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		NoDefaultServerHeader: true,
-		MaxRequestBodySize:    maxDocument,
+		MaxRequestBodySize:    maxBodyBytes,
 		ReadTimeout:           30 * time.Second,
 		WriteTimeout:          time.Minute,
 		Concurrency:           256,
-		Logger:                quiet{},
+		Logger:                discardLogger{},
 	}
 	return s
 }
 
-type quiet struct{}
+type discardLogger struct{}
 
-// Printf drops the library's own lines.
-func (quiet) Printf(string, ...any) {}
+// Printf discards the messages that fasthttp logs.
+func (discardLogger) Printf(string, ...any) {}
 
-// HTTP returns the server to run on a listener.
+// HTTP returns the HTTP server, to be run on a listener.
 func (s *Server) HTTP() *fasthttp.Server {
 	return s.http
 }
 
 type handler func(*Server, *fasthttp.RequestCtx) error
 
-// routes are the calls of the interface. A path that ends in a slash takes one
-// more part.
+// routes maps methods and paths to handlers. A path that ends in a slash matches
+// paths with one or two further segments.
 var routes = map[string]handler{
 	"GET /v1/status":         (*Server).handleStatus,
 	"GET /v1/configuration":  (*Server).handleConfiguration,
@@ -114,7 +116,7 @@
 
 func (s *Server) handleCall(ctx *fasthttp.RequestCtx, path string) {
 	if !s.authorized(ctx) {
-		answerProblem(ctx, fasthttp.StatusUnauthorized, Problem{Error: "a bearer token is needed: operatorToken of the settings"})
+		writeProblem(ctx, fasthttp.StatusUnauthorized, Problem{Error: "a bearer token is needed: operatorToken of the settings"})
 		return
 	}
 	method := string(ctx.Method()) + " "
@@ -126,15 +128,16 @@
 		call, ok = routes[method+parentOf(path)]
 	}
 	if !ok {
-		answerProblem(ctx, fasthttp.StatusNotFound, Problem{Error: "no such call: " + method + path})
+		writeProblem(ctx, fasthttp.StatusNotFound, Problem{Error: "no such call: " + method + path})
 		return
 	}
 	if err := call(s, ctx); err != nil {
-		s.answerError(ctx, err)
+		s.writeError(ctx, err)
 	}
 }
 
-// parentOf returns the path two parts up: /v1/waves/w1/pause is /v1/waves/.
+// parentOf removes the last two segments of a path: /v1/waves/w1/pause becomes
+// /v1/waves/.
 func parentOf(path string) string {
 	parts := strings.Split(path, "/")
 	if len(parts) < 3 {
@@ -151,50 +154,51 @@
 	return found && subtle.ConstantTimeCompare([]byte(given), []byte(s.token)) == 1
 }
 
-// badCall is a call that cannot be understood.
-type badCall struct {
+// badRequest is the error of a request that is malformed.
+type badRequest struct {
 	text string
 }
 
-// Error returns what is wrong with the call.
-func (b badCall) Error() string {
+// Error returns what is wrong with the request.
+func (b badRequest) Error() string {
 	return b.text
 }
 
-func (s *Server) answerError(ctx *fasthttp.RequestCtx, err error) {
-	var bad badCall
+func (s *Server) writeError(ctx *fasthttp.RequestCtx, err error) {
+	var bad badRequest
 	switch {
 	case errors.As(err, &bad):
-		answerProblem(ctx, fasthttp.StatusBadRequest, Problem{Error: err.Error()})
+		writeProblem(ctx, fasthttp.StatusBadRequest, Problem{Error: err.Error()})
 	case errors.Is(err, jaystate.ErrConflict):
-		answerProblem(ctx, fasthttp.StatusConflict, Problem{Error: err.Error(), InForce: s.inForce()})
-	case errors.Is(err, errUndecided):
-		answerProblem(ctx, fasthttp.StatusGatewayTimeout, Problem{Error: err.Error(), MayHaveTakenEffect: true})
+		writeProblem(ctx, fasthttp.StatusConflict, Problem{Error: err.Error(), InForce: s.inForce()})
+	case errors.Is(err, errOutcomeUnknown):
+		writeProblem(ctx, fasthttp.StatusGatewayTimeout, Problem{Error: err.Error(), MayHaveTakenEffect: true})
 	default:
-		answerProblem(ctx, fasthttp.StatusUnprocessableEntity, Problem{Error: err.Error()})
+		writeProblem(ctx, fasthttp.StatusUnprocessableEntity, Problem{Error: err.Error()})
 	}
 }
 
-var errUndecided = errors.New("the log service has not confirmed the change; look at the audit trail before you try again")
+var errOutcomeUnknown = errors.New("the log service has not confirmed the change; look at the audit trail before you try again")
 
-// propose has the fold decide on a write of an operator.
+// propose has the backend decide on a write of an operator. The request must name
+// the actor.
 func (s *Server) propose(ctx *fasthttp.RequestCtx, reason string, c *jaywire.Command) (jaystate.Outcome, error) {
 	actor := string(ctx.Request.Header.Peek(HeaderActor))
 	if actor == "" {
-		return jaystate.Outcome{}, badCall{text: "the header " + HeaderActor + " must say who asks"}
+		return jaystate.Outcome{}, badRequest{text: "the header " + HeaderActor + " must say who asks"}
 	}
 	c.Actor = actor
 	c.Reason = reason
 	outcome, err := s.backend.Propose(c, proposeTimeout)
 	if err != nil {
-		return outcome, errors.Join(errUndecided, err)
+		return outcome, errors.Join(errOutcomeUnknown, err)
 	}
 	return outcome, outcome.Err
 }
 
 func readBody(ctx *fasthttp.RequestCtx, into any) error {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
-		return badCall{text: "the body is no JSON of this call: " + err.Error()}
+		return badRequest{text: "the body is no JSON of this call: " + err.Error()}
 	}
 	return nil
 }
@@ -206,12 +210,12 @@
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, badCall{text: name + " is no number: " + text}
+		return 0, badRequest{text: name + " is no number: " + text}
 	}
 	return n, nil
 }
 
-func answerJSON(ctx *fasthttp.RequestCtx, body any) error {
+func writeJSON(ctx *fasthttp.RequestCtx, body any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -221,12 +225,13 @@
 	return nil
 }
 
-func answerProblem(ctx *fasthttp.RequestCtx, status int, p Problem) {
-	_ = answerJSON(ctx, p)
+func writeProblem(ctx *fasthttp.RequestCtx, status int, p Problem) {
+	_ = writeJSON(ctx, p)
 	ctx.SetStatusCode(status)
 }
 
-// pathParts returns the parts of the path after /v1/ and the call's name.
+// pathParts returns the segments of the path that follow /v1/ and the name of the
+// resource.
 func pathParts(ctx *fasthttp.RequestCtx) []string {
 	parts := strings.Split(strings.Trim(string(ctx.Path()), "/"), "/")
 	return parts[2:]
--- a/jayapi/status.go
+++ b/jayapi/status.go
@@ -15,7 +15,7 @@
 	}
 	revisions := s.backend.Revisions()
 	s.backend.Read(func(state *jaystate.State) { fillStatus(&status, state, revisions) })
-	return answerJSON(ctx, status)
+	return writeJSON(ctx, status)
 }
 
 func fillStatus(status *Status, state *jaystate.State, revisions map[string]uint64) {
--- a/jayapi/types.go
+++ b/jayapi/types.go
@@ -1,16 +1,18 @@
-// Package jayapi is the operators' interface: its messages, its handlers and
-// its client. The command line uses nothing else.
+// Package jayapi defines the operator API: its messages, its HTTP handlers and its
+// client. The subcommands that operate a running fleet call entries only through
+// this client.
 package jayapi
 
 import "jaythread/jayrule"
 
-// Header names of the interface.
+// Request headers of the operator API.
 const (
-	// HeaderActor says who asks. Each write carries it into the audit trail.
+	// HeaderActor is the header that identifies the user. It is required in each
+	// write and recorded in the audit trail.
 	HeaderActor = "Jaythread-Actor"
 )
 
-// Status is the state of the fleet as one entry has it.
+// Status is the state of the fleet as known to one entry.
 type Status struct {
 	Entry    string        `json:"entry"`
 	Offset   uint64        `json:"offset"`
@@ -25,14 +27,15 @@
 	Jobs     []JobStatus   `json:"jobs"`
 }
 
-// EntryStatus is an entry and the revision that it has in force.
+// EntryStatus describes an entry and the revision that it has in force.
 type EntryStatus struct {
 	Entry    string `json:"entry"`
 	PeerAddr string `json:"peerAddr"`
 	Revision uint64 `json:"revision"`
 }
 
-// PoolStatus is a pool's standing.
+// PoolStatus describes a pool, its availability relative to its budget, and its
+// instances.
 type PoolStatus struct {
 	Pool         string           `json:"pool"`
 	Members      int              `json:"members"`
@@ -44,7 +47,7 @@
 	Instances    []InstanceStatus `json:"instances"`
 }
 
-// InstanceStatus is an instance of a pool.
+// InstanceStatus describes an instance of a pool.
 type InstanceStatus struct {
 	Instance    string `json:"instance"`
 	Phase       string `json:"phase"`
@@ -52,7 +55,7 @@
 	Quarantined bool   `json:"quarantined"`
 }
 
-// WaveStatus is a wave and how far it is.
+// WaveStatus describes a maintenance wave and counts its instances by progress.
 type WaveStatus struct {
 	Wave     string   `json:"wave"`
 	Pools    []string `json:"pools"`
@@ -62,7 +65,7 @@
 	Due      int      `json:"due"`
 }
 
-// JobStatus is a job and where its tasks are.
+// JobStatus describes a job and how many of its tasks are placed.
 type JobStatus struct {
 	Job      string `json:"job"`
 	Pool     string `json:"pool"`
@@ -79,49 +82,50 @@
 	Document string `json:"document"`
 }
 
-// Publish asks to replace the configuration.
+// Publish is a request to replace the configuration.
 type Publish struct {
 	Replaces uint64 `json:"replaces"`
 	Message  string `json:"message"`
 	Document string `json:"document"`
 }
 
-// Decided is the outcome of a write.
+// Decided is the response to a write that was accepted.
 type Decided struct {
 	Offset   uint64 `json:"offset"`
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Problem is what a refused or failed call answers.
+// Problem is the response to a call that was refused or failed.
 type Problem struct {
 	Error string `json:"error"`
-	// MayHaveTakenEffect says that the outcome is not known.
+	// MayHaveTakenEffect is set if the outcome of a write is unknown.
 	MayHaveTakenEffect bool `json:"mayHaveTakenEffect"`
-	// InForce is the other side of a conflict.
+	// InForce is the configuration in force that a write conflicts with.
 	InForce *Configuration `json:"inForce,omitempty"`
 }
 
-// InForce says which entries have a revision in force.
+// InForce lists the revision that each live entry has in force.
 type InForce struct {
 	Revision uint64            `json:"revision"`
 	Entries  map[string]uint64 `json:"entries"`
-	// Everywhere says that all live entries have it, or a later one.
+	// Everywhere is set if all live entries have the revision, or a later one, in
+	// force.
 	Everywhere bool `json:"everywhere"`
 }
 
-// Wave asks to start a wave.
+// Wave is a request to start a maintenance wave.
 type Wave struct {
 	Wave  string   `json:"wave"`
 	Pools []string `json:"pools"`
 }
 
-// Move asks to move an instance to another pool.
+// Move is a request to move an instance to another pool.
 type Move struct {
 	Instance string `json:"instance"`
 	Pool     string `json:"pool"`
 }
 
-// AuditEntry is one decided change.
+// AuditEntry describes one proposed change, which was applied or rejected.
 type AuditEntry struct {
 	Offset     uint64 `json:"offset"`
 	UnixMillis int64  `json:"unixMillis"`
@@ -134,26 +138,28 @@
 	Rejected   string `json:"rejected"`
 }
 
-// Explain describes a request whose rule is asked for.
+// Explain describes a request for which the applicable rule is to be determined.
 type Explain struct {
 	Method string            `json:"method"`
 	Path   string            `json:"path"`
 	Caller string            `json:"caller"`
 	Header map[string]string `json:"header"`
-	// Time is HH:MM in the configuration's time zone; empty is now.
+	// Time is HH:MM in the configuration's time zone; empty means now.
 	Time string `json:"time"`
-	// PoolStates are the states of pools; an entry fills in the present ones.
+	// PoolStates holds the state of each pool. An entry replaces it with the
+	// current states.
 	PoolStates map[string]string `json:"poolStates"`
 }
 
-// Explained says which rule decides, and why the earlier ones did not.
+// Explained is the rule that applies to a request and its action, with a trace of
+// the rules that were examined.
 type Explained struct {
 	Rule   string          `json:"rule"`
 	Action string          `json:"action"`
 	Traces []jayrule.Trace `json:"traces"`
 }
 
-// PlanStep is a step of a dry run.
+// PlanStep is one step of a dry run.
 type PlanStep struct {
 	AtMillis int64  `json:"atMillis"`
 	Instance string `json:"instance"`
@@ -161,13 +167,15 @@
 	Rule     string `json:"rule"`
 }
 
-// Plan is a dry run of a wave.
+// Plan is the result of a dry run of a wave.
 type Plan struct {
 	Steps            []PlanStep `json:"steps"`
 	RollOutMillis    int64      `json:"rollOutMillis"`
 	LowerBoundMillis int64      `json:"lowerBoundMillis"`
-	// BufferCost is spare over used instances while the wave runs.
+	// BufferCost is the mean ratio of spare to needed instances while the wave
+	// runs.
 	BufferCost float64 `json:"bufferCost"`
-	// Stuck names instances that no rule or budget lets through.
+	// Stuck lists the instances that were not maintained because no rule or budget
+	// allowed it.
 	Stuck []string `json:"stuck"`
 }
--- a/jayapi/waves.go
+++ b/jayapi/waves.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	return answerJSON(ctx, Decided{Offset: outcome.Offset})
+	return writeJSON(ctx, Decided{Offset: outcome.Offset})
 }
 
 func (s *Server) allPools() []string {
@@ -45,11 +45,11 @@
 func (s *Server) handleWavePhase(ctx *fasthttp.RequestCtx) error {
 	parts := pathParts(ctx)
 	if len(parts) != 2 {
-		return badCall{text: "want /v1/waves/WAVE/pause, resume or cancel"}
+		return badRequest{text: "want /v1/waves/WAVE/pause, resume or cancel"}
 	}
 	phase, ok := wavePhases[parts[1]]
 	if !ok {
-		return badCall{text: parts[1] + " is none of pause, resume, cancel"}
+		return badRequest{text: parts[1] + " is none of pause, resume, cancel"}
 	}
 	var version uint64
 	s.backend.Read(func(state *jaystate.State) {
@@ -64,5 +64,5 @@
 	if err != nil {
 		return err
 	}
-	return answerJSON(ctx, Decided{Offset: outcome.Offset})
+	return writeJSON(ctx, Decided{Offset: outcome.Offset})
 }
