--- a/jayconfig/path.go
+++ b/jayconfig/path.go
@@ -40,8 +40,8 @@
 	config   *Configuration
 }
 
-// sourceFiles reports a problem of the merged configuration with the file and
-// position that the element comes from.
+// sourceFiles holds the files of a directory. It reports a problem of the merged
+// configuration in the file and at the position that the element comes from.
 type sourceFiles []sourceFile
 
 // Add reports a problem with the value at a pointer of the merged configuration.
