--- a/jayaccount/account.go
+++ b/jayaccount/account.go
@@ -10,56 +10,62 @@
 	"time"
 )
 
-// Cause is why a task that could run had no worker.
+// Cause is the reason why a task that was ready to run had no worker.
 type Cause uint8
 
-// The causes of waiting.
+// Causes of waiting.
 const (
-	// OnTheWay: instances were on their way to the pool.
+	// OnTheWay means that instances were being moved to the pool.
 	OnTheWay Cause = iota
-	// Elsewhere: instances were off, or idle in other pools.
+	// Elsewhere means that instances were off, or idle in other pools.
 	Elsewhere
-	// Full: all instances were in use.
+	// Full means that all instances were in use.
 	Full
-	// Unknown: nobody logged the state of the pool, for want of an owner.
+	// Unknown means that no recent state of the pool was logged, for example
+	// because the pool had no owner.
 	Unknown
-	causes
+	causeCount
 )
 
-var causeNames = [causes]string{"on the way", "elsewhere", "full", "unknown"}
+var causeNames = [causeCount]string{"on the way", "elsewhere", "full", "unknown"}
 
 // String returns the cause in lower case.
 func (c Cause) String() string {
 	return causeNames[c]
 }
 
-// QueueRow sums the jobs of a queue. Times are summed over its jobs.
+// QueueRow holds the totals of a queue. Durations are summed over the queue's jobs.
 type QueueRow struct {
 	Queue string
-	// Jobs were accepted, Late of them done after their time, Refused never
-	// accepted, Open not done.
+	// Jobs is the number of accepted jobs. Late of them were done after their
+	// target time, Open of them have not ended. Refused jobs were never accepted
+	// and are not part of Jobs.
 	Jobs    int
 	Late    int
 	Refused int
 	Open    int
-	// Stored is the time until acceptance, Taken that until the owner knew the job,
-	// Waited that in which a task that could run had no worker, by cause, Shown that
-	// from the last end to its record.
+	// Stored is the time from submission to acceptance, Taken the time from
+	// acceptance until the pool's owner declared the job, Waited the time during
+	// which a task that was ready to run had no worker, by cause, and Shown the
+	// time from the job's end until the end was recorded.
 	Stored time.Duration
 	Taken  time.Duration
-	Waited [causes]time.Duration
+	Waited [causeCount]time.Duration
 	Shown  time.Duration
-	// Starts counts the runs, Repeats those of tasks that had run before.
+	// Starts is the number of runs, Repeats the number of those whose task had run
+	// before.
 	Starts  int
 	Repeats int
 }
 
-// PoolRow sums the instance seconds of a pool.
+// PoolRow holds the totals of a pool in instance-seconds.
 type PoolRow struct {
 	Pool string
-	// On is how many instance seconds were paid for; Idle of them nothing ran,
-	// LongRunning only long-running tasks, Leaving the instance was being emptied. Used is
-	// the part of the room that was taken, as instance seconds.
+	// On is the time for which instances were on, and therefore paid for. Idle is
+	// the part of it in which an instance ran nothing, LongRunning the part in
+	// which it ran only long-running tasks, and Leaving the part in which it was
+	// being emptied. Used is the share of the pool's capacity that tasks occupied,
+	// converted to instance-seconds.
 	On          float64
 	Idle        float64
 	LongRunning float64
@@ -67,35 +73,40 @@
 	Used        float64
 }
 
-// SecondRow is one second.
+// SecondRow holds the totals of one second.
 type SecondRow struct {
-	// Second counts from the first job.
+	// Second is the number of the second, counted from the submission of the first
+	// job.
 	Second int
-	// Jobs were submitted, Late of those are done late.
+	// Jobs is the number of jobs submitted in this second, Late the number of those
+	// that were done after their target time.
 	Jobs int
 	Late int
-	// Need, On and Off are hosts of all pools, on average.
+	// Need, On and Off are the mean numbers of instances in this second that were
+	// needed, on and off, over all pools.
 	Need float64
 	On   float64
 	Off  float64
 }
 
-// Account is where the time went.
+// Account holds the tables that show where the time of jobs and instances was
+// spent.
 type Account struct {
 	Queues  []QueueRow
 	Pools   []PoolRow
 	Seconds []SecondRow
-	// Best is what could have been in time at best.
+	// Best is an upper bound of the jobs that could have been done in time.
 	Best Best
 }
 
-// step is between two looks at what a waiting task waited for.
-const step = 20 * time.Millisecond
+// timeStep is the resolution at which waits are attributed to causes, and the step
+// of the simulation that computes Best.
+const timeStep = 20 * time.Millisecond
 
-// stateAge is how old a pool's state may be that explains a wait.
-const stateAge = 1200 * time.Millisecond
+// maxStateAge is the age up to which a logged pool state explains a wait.
+const maxStateAge = 1200 * time.Millisecond
 
-// Account sums the lines up.
+// Account computes the tables from the log lines read so far.
 func (l *Ledger) Account() Account {
 	slices.SortStableFunc(l.states, func(a, b poolState) int { return a.at.Compare(b.at) })
 	byPool := map[string][]poolState{}
@@ -151,31 +162,32 @@
 	}
 }
 
-// late reports whether a job was done after its time.
+// late reports whether a job was done after its target time.
 func (j *job) late() bool {
 	return j.outcome == "done" && j.within > 0 && !j.submitted.IsZero() && j.ended.Sub(j.submitted) > j.within
 }
 
-// waitsOf splits the time in which some task of a job waited for a worker.
-func waitsOf(j *job, states []poolState) (waited [causes]time.Duration) {
-	slices.SortFunc(j.waits, func(a, b span) int { return a.from.Compare(b.from) })
+// waitsOf returns, by cause, the time during which at least one task of a job
+// waited for a worker. Overlapping waits are counted once.
+func waitsOf(j *job, states []poolState) (waited [causeCount]time.Duration) {
+	slices.SortFunc(j.waits, func(a, b interval) int { return a.from.Compare(b.from) })
 	var seen time.Time
 	for _, w := range j.waits {
-		for at := w.from; at.Before(w.to); at = at.Add(step) {
+		for at := w.from; at.Before(w.to); at = at.Add(timeStep) {
 			if at.Before(seen) {
 				continue
 			}
-			waited[causeAt(states, at)] += min(step, w.to.Sub(at))
-			seen = at.Add(step)
+			waited[causeAt(states, at)] += min(timeStep, w.to.Sub(at))
+			seen = at.Add(timeStep)
 		}
 	}
 	return waited
 }
 
-// causeAt returns why a pool had no worker at a time.
+// causeAt returns why a pool had no worker at a given time.
 func causeAt(states []poolState, at time.Time) Cause {
 	n, _ := slices.BinarySearchFunc(states, at, func(s poolState, at time.Time) int { return s.at.Compare(at) })
-	if n == 0 || at.Sub(states[n-1].at) > stateAge {
+	if n == 0 || at.Sub(states[n-1].at) > maxStateAge {
 		return Unknown
 	}
 	s := states[n-1]
@@ -195,7 +207,7 @@
 		row := PoolRow{Pool: pool}
 		states := byPool[pool]
 		for n := range states[:len(states)-1] {
-			s, length := states[n], min(states[n+1].at.Sub(states[n].at), stateAge).Seconds()
+			s, length := states[n], min(states[n+1].at.Sub(states[n].at), maxStateAge).Seconds()
 			row.On += float64(s.On) * length
 			row.Idle += float64(s.Idle) * length
 			row.LongRunning += float64(s.LongRunning) * length
@@ -243,32 +255,32 @@
 	return list
 }
 
-// addStates adds the means of each second's states.
+// addStates adds the mean of the pool states logged in each second to the rows.
 func addStates(states []poolState, first time.Time, at func(time.Time) *SecondRow) {
-	looks := map[*SecondRow]map[string]float64{}
+	samples := map[*SecondRow]map[string]float64{}
 	for _, s := range states {
 		if s.at.Before(first) {
 			continue
 		}
 		row := at(s.at)
-		if looks[row] == nil {
-			looks[row] = map[string]float64{}
+		if samples[row] == nil {
+			samples[row] = map[string]float64{}
 		}
-		looks[row][s.Pool]++
+		samples[row][s.Pool]++
 	}
 	for _, s := range states {
 		if s.at.Before(first) {
 			continue
 		}
 		row := at(s.at)
-		share := 1 / looks[row][s.Pool]
+		share := 1 / samples[row][s.Pool]
 		row.Need += float64(s.Need) * share
 		row.On += float64(s.On) * share
-		row.Off += float64(s.Off) * share / float64(len(looks[row]))
+		row.Off += float64(s.Off) * share / float64(len(samples[row]))
 	}
 }
 
-// Write prints the tables.
+// Write prints the tables as text.
 func (a Account) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "queue\tjobs\tlate\trefused\topen\tstored s\ttaken s\ton the way s\telsewhere s\tfull s\tunknown s\tshown s\tstarts\trepeats\t")
--- a/jayaccount/account_test.go
+++ b/jayaccount/account_test.go
@@ -13,25 +13,26 @@
 	"github.com/matryer/is"
 )
 
-// at is a log line at a time of the day, in milliseconds.
-func at(millis int, fields string) string {
+// logLine returns a log line written at a number of milliseconds after the epoch.
+func logLine(millis int, fields string) string {
 	stamp := time.UnixMilli(int64(millis)).UTC().Format(time.RFC3339Nano)
 	return fmt.Sprintf("entry-1 {%s,\"time\":%q}\n", fields, stamp)
 }
 
-// job is the lines of one job that was submitted, started after a while and done.
+// jobLines returns the log lines of one job that was submitted, waited, ran and was
+// done.
 func jobLines(id, queue string, submitted, waited, took, within int, cores float64) string {
 	started := submitted + 100 + waited
 	ended := started + took
-	return at(submitted+100, fmt.Sprintf(`"message":"job accepted","job":%q,"queue":%q,"pool":"p","took":"100ms"`, id, queue)) +
-		at(submitted+120, fmt.Sprintf(`"message":"job declared","job":%q,"queue":%q,"pool":"p","within":"%dms","coreSeconds":%g`, id, queue, within, cores)) +
-		at(started, fmt.Sprintf(`"message":"run started","task":"%s.0.0.0","pool":"p","waited":"%dms"`, id, waited)) +
-		at(ended, fmt.Sprintf(`"message":"job ended","job":%q,"pool":"p","detail":"done"`, id)) +
-		at(ended+50, fmt.Sprintf(`"message":"job recorded","job":%q,"pool":"p"`, id))
+	return logLine(submitted+100, fmt.Sprintf(`"message":"job accepted","job":%q,"queue":%q,"pool":"p","took":"100ms"`, id, queue)) +
+		logLine(submitted+120, fmt.Sprintf(`"message":"job declared","job":%q,"queue":%q,"pool":"p","within":"%dms","coreSeconds":%g`, id, queue, within, cores)) +
+		logLine(started, fmt.Sprintf(`"message":"run started","task":"%s.0.0.0","pool":"p","waited":"%dms"`, id, waited)) +
+		logLine(ended, fmt.Sprintf(`"message":"job ended","job":%q,"pool":"p","detail":"done"`, id)) +
+		logLine(ended+50, fmt.Sprintf(`"message":"job recorded","job":%q,"pool":"p"`, id))
 }
 
 func stateLine(millis, need, on, idle, longRunning, coming, off int, used, room int) string {
-	return at(millis, fmt.Sprintf(`"message":"pool state","pool":"p","need":%d,"on":%d,"idle":%d,"longRunning":%d,"coming":%d,"off":%d,"usedMilli":%d,"roomMilli":%d`,
+	return logLine(millis, fmt.Sprintf(`"message":"pool state","pool":"p","need":%d,"on":%d,"idle":%d,"longRunning":%d,"coming":%d,"off":%d,"usedMilli":%d,"roomMilli":%d`,
 		need, on, idle, longRunning, coming, off, used, room))
 }
 
@@ -42,7 +43,7 @@
 	return l.Account()
 }
 
-func TestQueues(t *testing.T) {
+func TestQueueRows(t *testing.T) {
 	t.Run("times of a job", func(t *testing.T) {
 		is := is.New(t)
 		a := accountOf(t, stateLine(0, 1, 1, 0, 0, 0, 0, 500, 1000)+jobLines("a", "q", 100, 300, 400, 2000, 1))
@@ -59,8 +60,8 @@
 	t.Run("late, refused, open", func(t *testing.T) {
 		is := is.New(t)
 		log := jobLines("a", "q", 100, 0, 400, 499, 1) +
-			at(200, `"message":"job not accepted","job":"b","queue":"q","pool":"p","took":"10ms"`) +
-			at(300, `"message":"job accepted","job":"c","queue":"q","pool":"p","took":"10ms"`)
+			logLine(200, `"message":"job not accepted","job":"b","queue":"q","pool":"p","took":"10ms"`) +
+			logLine(300, `"message":"job accepted","job":"c","queue":"q","pool":"p","took":"10ms"`)
 		r := accountOf(t, log).Queues[0]
 		is.Equal(r.Jobs, 2)
 		is.Equal(r.Late, 1)
@@ -74,11 +75,11 @@
 		r := accountOf(t, log).Queues[0]
 		is.Equal(r.Waited[OnTheWay], 100*time.Millisecond)
 		is.Equal(r.Waited[Elsewhere], 200*time.Millisecond)
-		is.Equal(r.Waited[Unknown], 100*time.Millisecond) // no state for three seconds
+		is.Equal(r.Waited[Unknown], 100*time.Millisecond) // the last state is older than maxStateAge
 	})
 	t.Run("a task that is started again", func(t *testing.T) {
 		is := is.New(t)
-		log := jobLines("a", "q", 0, 0, 400, 900, 1) + at(300, `"message":"run started","task":"a.0.0.0","pool":"p"`)
+		log := jobLines("a", "q", 0, 0, 400, 900, 1) + logLine(300, `"message":"run started","task":"a.0.0.0","pool":"p"`)
 		r := accountOf(t, log).Queues[0]
 		is.Equal(r.Starts, 2)
 		is.Equal(r.Repeats, 1)
@@ -89,7 +90,7 @@
 	})
 }
 
-func TestPools(t *testing.T) {
+func TestPoolRows(t *testing.T) {
 	is := is.New(t)
 	a := accountOf(t, stateLine(0, 4, 4, 1, 2, 0, 6, 1000, 4000)+stateLine(500, 4, 2, 0, 0, 0, 8, 1000, 2000)+stateLine(1500, 4, 2, 0, 0, 0, 8, 0, 2000))
 	r := a.Pools[0]
@@ -99,7 +100,7 @@
 	is.Equal(r.Used, 0.5+1.0)
 }
 
-func TestSeconds(t *testing.T) {
+func TestSecondRows(t *testing.T) {
 	is := is.New(t)
 	log := stateLine(200, 5, 3, 0, 0, 0, 7, 0, 3000) + stateLine(700, 7, 3, 0, 0, 0, 7, 0, 3000) +
 		jobLines("a", "q", 100, 0, 100, 900, 1) + jobLines("b", "q", 1200, 0, 600, 500, 1)
@@ -108,8 +109,8 @@
 	is.Equal(a.Seconds[1], SecondRow{Second: 1, Jobs: 1, Late: 1})
 }
 
-func TestBest(t *testing.T) {
-	// Two cores on and two off: four core-seconds a second.
+func TestBestBound(t *testing.T) {
+	// Two instances of one core each are on and two are off: four cores in all.
 	room := stateLine(0, 2, 2, 0, 0, 0, 2, 0, 2000)
 	cases := []struct {
 		name string
@@ -119,7 +120,7 @@
 		{"all fit", jobLines("a", "q", 0, 0, 900, 2000, 4) + jobLines("b", "q", 0, 0, 900, 2000, 3), Best{Jobs: 2, InTime: 2, Possible: 2}},
 		{"late in fact, not at best", jobLines("a", "q", 0, 1500, 900, 2000, 4), Best{Jobs: 1, InTime: 0, Possible: 1}},
 		{"more than there is room for", jobLines("a", "q", 0, 0, 900, 1100, 4) + jobLines("b", "q", 0, 0, 1900, 1200, 4), Best{Jobs: 2, InTime: 1, Possible: 1}},
-		{"jobs without a time do not count", at(10, `"message":"job accepted","job":"a","queue":"q","pool":"p","took":"1ms"`), Best{}},
+		{"jobs without a time do not count", logLine(10, `"message":"job accepted","job":"a","queue":"q","pool":"p","took":"1ms"`), Best{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -128,7 +129,7 @@
 	}
 }
 
-func TestPlotIsWellFormed(t *testing.T) {
+func TestPlotIsWellFormedXML(t *testing.T) {
 	is := is.New(t)
 	a := accountOf(t, stateLine(200, 25, 13, 0, 0, 0, 7, 0, 3000)+jobLines("a", "q", 100, 0, 600, 500, 1))
 	var out bytes.Buffer
--- a/jayaccount/best.go
+++ b/jayaccount/best.go
@@ -6,19 +6,21 @@
 	"time"
 )
 
-// Best bounds what could have been done in time.
+// Best compares the jobs that were done in time with an upper bound.
 type Best struct {
-	// Jobs have a time and were accepted; InTime of them were done within it.
+	// Jobs is the number of accepted jobs that were done and have a target time.
+	// InTime of them were done within it.
 	Jobs   int
 	InTime int
-	// Possible is how many would have been, by their declared work, if all instances
-	// had served all pools all the while and work could be cut at will: no placement
-	// does better, since moves, steps and sizes only take from it.
+	// Possible is an upper bound of the jobs that could have been done in time, by
+	// their declared work: it assumes that every instance served every pool all the
+	// time and that work could be divided at will. No placement does better, since
+	// moves, steps and instance sizes only reduce the capacity.
 	Possible int
 }
 
-// best serves the jobs by the time at which each should be done, with the room of all
-// instances.
+// best computes the bound by serving the jobs in the order of their target times,
+// with the capacity of all instances.
 func (l *Ledger) best() Best {
 	var jobs []*job
 	var b Best
@@ -32,12 +34,14 @@
 			b.InTime++
 		}
 	}
-	b.Possible = possible(jobs, l.room())
+	b.Possible = maxInTime(jobs, l.totalCores())
 	return b
 }
 
-// room is how many cores all instances have together, on or off.
-func (l *Ledger) room() float64 {
+// totalCores returns the largest number of cores that all instances had together,
+// on or off. Instances that are off are assumed to have the average size of those
+// that are on.
+func (l *Ledger) totalCores() float64 {
 	on, milli := map[string]int{}, map[string]int64{}
 	most := 0.0
 	for _, s := range l.states {
@@ -54,8 +58,9 @@
 	return most
 }
 
-// possible counts the jobs that a room of so many cores could do in time.
-func possible(jobs []*job, cores float64) int {
+// maxInTime returns the number of jobs that could be done in time with the given
+// number of cores.
+func maxInTime(jobs []*job, cores float64) int {
 	slices.SortFunc(jobs, func(a, b *job) int { return a.submitted.Compare(b.submitted) })
 	if len(jobs) == 0 || cores <= 0 {
 		return 0
@@ -66,13 +71,13 @@
 	}
 	var queue []*waiting
 	done, next := 0, 0
-	for at := jobs[0].submitted; next < len(jobs) || len(queue) > 0; at = at.Add(step) {
+	for at := jobs[0].submitted; next < len(jobs) || len(queue) > 0; at = at.Add(timeStep) {
 		for ; next < len(jobs) && !jobs[next].submitted.After(at); next++ {
 			j := jobs[next]
 			queue = append(queue, &waiting{target: j.submitted.Add(j.within), left: j.work})
 		}
 		slices.SortFunc(queue, func(a, b *waiting) int { return cmp.Or(a.target.Compare(b.target), cmp.Compare(a.left, b.left)) })
-		room := cores * step.Seconds()
+		room := cores * timeStep.Seconds()
 		queue = slices.DeleteFunc(queue, func(w *waiting) bool {
 			if w.target.Before(at) {
 				return true
--- a/jayaccount/plot.go
+++ b/jayaccount/plot.go
@@ -7,8 +7,9 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// The plot's measures, in pixels: a second's width, the height above the axis, the
-// margins, and a grid line's distance in hosts or jobs.
+// Dimensions of the plot in pixels: the width of a second, the height above the
+// axis and the margins. plotGrid is the distance between grid lines in instances or
+// jobs, and between labels of the time axis in seconds.
 const (
 	plotSecond = 14
 	plotHeight = 360
@@ -26,7 +27,8 @@
 	stylePaper = "fill:white"
 )
 
-// WritePlot draws demand, instances on and off, and late jobs by second, as SVG.
+// WritePlot draws the needed instances, the instances that are on and off, and the
+// late jobs of each second as SVG.
 func (a Account) WritePlot(out io.Writer) {
 	most := float64(plotGrid)
 	for _, r := range a.Seconds {
--- a/jayaccount/read.go
+++ b/jayaccount/read.go
@@ -1,5 +1,6 @@
-// Package jayaccount reads the entries' logs of a time and says where the jobs' time
-// and the instances' seconds went. It is pure: lines in, tables out.
+// Package jayaccount computes from the logs of all entries where the time of jobs
+// and the seconds of instances were spent. It reads log lines and writes tables; it
+// has no other input or output.
 package jayaccount
 
 import (
@@ -11,10 +12,10 @@
 	"time"
 )
 
-// maxLine bounds a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 1 << 20
 
-// line holds the fields of the log lines that are read here.
+// line holds the fields of a log line that the account uses.
 type line struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"message"`
@@ -40,13 +41,13 @@
 	RoomMilli   int64 `json:"roomMilli"`
 }
 
-// Ledger collects lines.
+// Ledger collects the log lines that an account is computed from.
 type Ledger struct {
 	jobs   map[string]*job
 	states []poolState
 }
 
-// job is what the lines say of one job.
+// job holds what the log lines tell about one job.
 type job struct {
 	queue     string
 	pool      string
@@ -56,23 +57,24 @@
 	ended     time.Time
 	recorded  time.Time
 	within    time.Duration
-	// work is its declared work in core-seconds.
+	// work is the declared work in core-seconds.
 	work     float64
 	outcome  string
 	refusals int
-	// waits are the times for which a task that could run had no worker.
-	waits []span
-	// starts counts its starts, repeats those of tasks that had started before.
+	// waits holds the periods in which a task that was ready to run had no worker.
+	waits []interval
+	// starts is the number of runs, repeats the number of those whose task had run
+	// before.
 	starts  int
 	repeats int
 	tasks   map[string]bool
 }
 
-type span struct {
+type interval struct {
 	from, to time.Time
 }
 
-// poolState is what a pool had at a moment.
+// poolState is the state of a pool at one time.
 type poolState struct {
 	at time.Time
 	line
@@ -83,11 +85,11 @@
 	return &Ledger{jobs: map[string]*job{}}
 }
 
-// Read takes in a log. A line may have a prefix, as collectors of logs put one;
-// lines that are no JSON are passed over.
+// Read adds the lines of a log. Log collectors may have put a prefix before a line;
+// lines without a JSON object are skipped.
 func (l *Ledger) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		start := bytes.IndexByte(text, '{')
@@ -96,14 +98,14 @@
 		}
 		var read line
 		if json.Unmarshal(text[start:], &read) == nil {
-			l.take(&read)
+			l.add(&read)
 		}
 	}
 	return scanner.Err()
 }
 
-// take takes in one line.
-func (l *Ledger) take(read *line) {
+// add adds one line.
+func (l *Ledger) add(read *line) {
 	switch read.Message {
 	case "pool state":
 		l.states = append(l.states, poolState{at: read.Time, line: *read})
@@ -111,16 +113,16 @@
 		j := l.job(read.Job, read)
 		if j.accepted.IsZero() || read.Time.Before(j.accepted) {
 			j.accepted = read.Time
-			j.submit(read.Time.Add(-durationOf(read.Took)))
+			j.submit(read.Time.Add(-parseDuration(read.Took)))
 		}
 	case "job not accepted":
 		j := l.job(read.Job, read)
 		j.refusals++
-		j.submit(read.Time.Add(-durationOf(read.Took)))
+		j.submit(read.Time.Add(-parseDuration(read.Took)))
 	case "job declared":
 		j := l.job(read.Job, read)
 		if j.declared.IsZero() {
-			j.declared, j.within, j.work = read.Time, durationOf(read.Within), read.CoreSeconds
+			j.declared, j.within, j.work = read.Time, parseDuration(read.Within), read.CoreSeconds
 		}
 	case "run started":
 		id, _, _ := strings.Cut(read.Task, ".")
@@ -133,7 +135,7 @@
 	}
 }
 
-// job returns the job with an ID.
+// job returns the job with the given ID and creates it if it is not known yet.
 func (l *Ledger) job(id string, read *line) *job {
 	j, known := l.jobs[id]
 	if !known {
@@ -149,6 +151,8 @@
 	return j
 }
 
+// submit sets the submission time if it is the earliest one seen. Several entries may
+// have logged the job.
 func (j *job) submit(at time.Time) {
 	if j.submitted.IsZero() || at.Before(j.submitted) {
 		j.submitted = at
@@ -161,19 +165,20 @@
 		j.repeats++
 	}
 	j.tasks[read.Task] = true
-	if waited := durationOf(read.Waited); waited > 0 {
-		j.waits = append(j.waits, span{from: read.Time.Add(-waited), to: read.Time})
+	if waited := parseDuration(read.Waited); waited > 0 {
+		j.waits = append(j.waits, interval{from: read.Time.Add(-waited), to: read.Time})
 	}
 }
 
-// outcomeOf is the first word of how a job ended: done, failed or canceled.
+// outcomeOf returns the first word of the detail of a job's end: done, failed or
+// canceled.
 func outcomeOf(detail string) string {
 	word, _, _ := strings.Cut(detail, ":")
 	return word
 }
 
-// durationOf reads a duration; one that is missing is zero.
-func durationOf(text string) time.Duration {
+// parseDuration returns zero for a missing or malformed duration.
+func parseDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		return 0
