--- a/jaytrace/trace.go
+++ b/jaytrace/trace.go
@@ -1,5 +1,5 @@
-// Package jaytrace merges the log lines of several entries into the timeline of
-// one job. It is pure.
+// Package jaytrace merges log lines of several entries into the timeline of one
+// job. It has no side effects except on the readers and writers that it is given.
 package jaytrace
 
 import (
@@ -14,33 +14,33 @@
 	"time"
 )
 
-// Line is a log line that concerns the job.
+// Line is a log line about the job or one of its tasks.
 type Line struct {
 	At time.Time
-	// Entry is the entry that wrote it.
+	// Entry is the entry that wrote the line.
 	Entry   string
 	Part    string
 	Message string
-	// Values are the line's other fields.
+	// Values holds the other fields of the line, except for its level.
 	Values map[string]any
 }
 
-// stages are the messages in the order in which a job's way goes. The clocks of
-// two entries differ if a later one seems to come first. That a job was accepted
-// is no stage: its owner may read of it before the entry that took it has the
-// store's answer.
+// stages lists the messages that mark the progress of a job, in their causal order.
+// If an entry logged a later stage before another entry logged an earlier one,
+// their clocks differ. "job accepted" is not a stage: the job's owner may read the
+// job from the store before the entry that accepted it has the store's response.
 var stages = []string{"job declared", "run started", "run ended", "job ended", "job recorded"}
 
-// maxLine bounds a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Collect returns the lines of a log that name the job or one of its tasks. A
-// line may have a prefix, as collectors of logs put one; lines that are no JSON
-// are passed over.
+// Collect returns the lines of a log that name the job or one of its tasks. Log
+// collectors may have put a prefix before a line; lines without a JSON object are
+// skipped.
 func Collect(log io.Reader, job string) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if line, ok := parse(scanner.Bytes(), job); ok {
 			lines = append(lines, line)
@@ -55,7 +55,7 @@
 		return Line{}, false
 	}
 	var values map[string]any
-	if json.Unmarshal(text[start:], &values) != nil || !concerns(values, job) {
+	if json.Unmarshal(text[start:], &values) != nil || !isAboutJob(values, job) {
 		return Line{}, false
 	}
 	line := Line{Values: values}
@@ -68,7 +68,7 @@
 	return line, err == nil
 }
 
-func concerns(values map[string]any, job string) bool {
+func isAboutJob(values map[string]any, job string) bool {
 	if values["job"] == job {
 		return true
 	}
@@ -82,13 +82,14 @@
 	return text
 }
 
-// Merge orders the lines by their time.
+// Merge sorts the lines by time.
 func Merge(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// Write prints the timeline: for each line the time since the first one, the
-// gap before it, who wrote it and what.
+// Write prints the timeline. For each line it shows the time since the first line,
+// the time since the previous line, the entry, the part of the system, the message
+// and the other fields. Clock differences follow at the end.
 func Write(out io.Writer, lines []Line) error {
 	for n, line := range lines {
 		since, gap := line.At.Sub(lines[0].At), time.Duration(0)
@@ -117,8 +118,9 @@
 	return b.String()
 }
 
-// ClockDifferences names the entries whose clocks must differ: one wrote of a
-// later stage of the job before another wrote of an earlier one.
+// ClockDifferences describes each pair of stages that shows a difference between
+// the clocks of two entries: one entry logged a later stage before the other logged
+// an earlier one.
 func ClockDifferences(lines []Line) []string {
 	first := map[string]Line{}
 	for _, line := range lines {
--- a/jaytrace/trace_test.go
+++ b/jaytrace/trace_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// Example shows a timeline of two entries' logs.
+// Example merges the logs of two entries into a timeline.
 func Example() {
 	a, _ := Collect(strings.NewReader(logOfA), "5c0e")
 	b, _ := Collect(strings.NewReader(logOfB), "5c0e")
