--- a/jaycatalog/catalog.go
+++ b/jaycatalog/catalog.go
@@ -1,6 +1,6 @@
-// Package jaycatalog holds one revision of what operators have declared for
-// the job service: pools, queues and the ordered rules that send a request to
-// a queue. A catalog is replaced as a whole and never changed.
+// Package jaycatalog holds one revision of the operators' declarations for the job
+// service: pools, queues and the ordered rules that route a request to a queue. A
+// catalog is immutable; a new revision replaces it as a whole.
 package jaycatalog
 
 import (
@@ -13,30 +13,32 @@
 	"jaythread/jayspec"
 )
 
-// Pool is a group of instances that run the tasks of some queues.
+// Pool declares a group of instances that run the tasks of one or more queues.
 type Pool struct {
 	Name       string
 	HealthPath string
 	MaxConns   int
-	// Guarded workers refuse what does not fit; others start what they are
-	// told to.
+	// Guarded states that the pool's workers refuse tasks that exceed their
+	// capacity. Workers of other pools start every task that they are ordered to
+	// start.
 	Guarded bool
-	// Standby pools hold instances that are off and cost nothing.
+	// Standby marks a pool whose instances are off and cost nothing.
 	Standby bool
 }
 
-// Queue takes jobs for a pool.
+// Queue declares a queue, which accepts jobs for a pool.
 type Queue struct {
 	Name   string
 	Host   string
 	Prefix string
 	Pool   string
 	Policy jayspec.Policy
-	// Timeout bounds the answer to a request about the queue; zero does not.
+	// Timeout limits the time to respond to a request about the queue; zero means
+	// no limit.
 	Timeout time.Duration
 }
 
-// Limits bound what callers may send.
+// Limits holds the limits on requests and connections of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -44,7 +46,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Catalog is one revision.
+// Catalog is one revision of the declarations.
 type Catalog struct {
 	Revision int64
 	Limits   Limits
@@ -53,8 +55,8 @@
 	rules    jayrule.List
 }
 
-// New returns a catalog whose rules try longer path prefixes first, so that
-// the first match is the longest one.
+// New returns a catalog. Its rules are ordered by decreasing length of the path
+// prefix, so that the first match is the longest one.
 func New(revision int64, limits Limits, pools []Pool, queues []Queue) *Catalog {
 	c := &Catalog{
 		Revision: revision,
@@ -81,8 +83,8 @@
 	return c
 }
 
-// Match returns the queue that a request is for and what follows the queue's
-// prefix in its path.
+// Match returns the queue that a request is addressed to, and the part of the path
+// that follows the queue's prefix.
 func (c *Catalog) Match(host, path string) (queue Queue, rest string, found bool) {
 	rule, found := c.rules.Decide(&jayrule.Subject{Kind: jayrule.AboutRequest, Service: host, Path: path})
 	if !found {
@@ -92,7 +94,7 @@
 	return queue, path[len(queue.Prefix):], true
 }
 
-// WorkingPools returns the names of the pools that run tasks, in order.
+// WorkingPools returns the names of all pools except standby pools, sorted.
 func (c *Catalog) WorkingPools() []string {
 	var names []string
 	for name, p := range c.Pools {
@@ -104,8 +106,7 @@
 	return names
 }
 
-// StandbyPools returns the names of the pools whose instances are off, in
-// order.
+// StandbyPools returns the names of the standby pools, sorted.
 func (c *Catalog) StandbyPools() []string {
 	var names []string
 	for name, p := range c.Pools {
--- a/jaycatalog/catalog_test.go
+++ b/jaycatalog/catalog_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestLongestPrefixDecides(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	c := New(3, Limits{}, []Pool{{Name: "seats"}, {Name: "off", Standby: true}, {Name: "fees"}}, []Queue{
 		{Name: "short", Host: "a", Prefix: "/x/", Pool: "seats"},
 		{Name: "long", Host: "a", Prefix: "/x/y/", Pool: "fees"},
