--- a/jayverdict/verdict.go
+++ b/jayverdict/verdict.go
@@ -1,4 +1,5 @@
-// Package jayverdict says of a request whether an upstream may have run it.
+// Package jayverdict defines the verdict on a request: whether an upstream ran it,
+// did not run it, or may have run it.
 package jayverdict
 
 import (
@@ -10,20 +11,22 @@
 // Header is the response header that carries the verdict to the caller.
 const Header = "Jaythread-Verdict"
 
-// Verdict tells whether an upstream ran a request.
+// Verdict states whether an upstream ran a request.
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value: without proof, nothing else may be claimed.
+	// MayHaveRun means that it is unknown whether the request ran. It is the zero
+	// value, because the other verdicts require proof.
 	MayHaveRun Verdict = iota
-	// NotRun means that no byte of the request reached an upstream, or that
-	// the upstream refused it by contract. The request will not run later.
+	// NotRun means that no byte of the request reached an upstream, or that the
+	// upstream refused the request and guarantees not to have run it. The request
+	// will not run later either.
 	NotRun
-	// Ran means that an upstream answered the request.
+	// Ran means that an upstream responded to the request.
 	Ran
 )
 
-// String returns the verdict as it stands in the response header.
+// String returns the verdict as written in the response header.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -35,8 +38,7 @@
 	}
 }
 
-// Parse returns the verdict that a header value names; an unknown value is
-// MayHaveRun.
+// Parse returns the verdict for a header value. An unknown value yields MayHaveRun.
 func Parse(s string) Verdict {
 	switch s {
 	case NotRun.String():
@@ -48,25 +50,27 @@
 	}
 }
 
-// Error is a refusal or failure that the system itself answers with.
+// Error is a refusal or failure with which the system itself responds to a request.
 type Error struct {
 	Verdict Verdict
-	// Status is the HTTP status for the caller.
+	// Status is the HTTP status of the response.
 	Status int
 	// Reason is a short phrase for the caller and the logs.
 	Reason string
-	// RetryAfter is sent only with NotRun; zero sends none.
+	// RetryAfter is the delay after which the caller may retry. It is sent only
+	// with NotRun, and only if it is not zero.
 	RetryAfter time.Duration
-	// Err is the cause, if there is one.
+	// Err is the underlying error, or nil.
 	Err error
 }
 
-// NewNotRun returns a refusal that is certain not to have run.
+// NewNotRun returns an error with the verdict NotRun. A retryAfter of zero is not
+// sent.
 func NewNotRun(status int, reason string, retryAfter time.Duration) *Error {
 	return &Error{Verdict: NotRun, Status: status, Reason: reason, RetryAfter: retryAfter}
 }
 
-// NewMayHaveRun returns a failure after which the request may have run.
+// NewMayHaveRun returns an error with the verdict MayHaveRun and its cause.
 func NewMayHaveRun(status int, reason string, err error) *Error {
 	return &Error{Verdict: MayHaveRun, Status: status, Reason: reason, Err: err}
 }
@@ -84,7 +88,8 @@
 	return e.Err
 }
 
-// Of returns the verdict of err; any error that is no *Error may have run.
+// Of returns the verdict of an error. An error that does not wrap an *Error yields
+// MayHaveRun.
 func Of(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
--- a/jayverdict/verdict_test.go
+++ b/jayverdict/verdict_test.go
@@ -18,7 +18,7 @@
 	// mayHaveRun
 }
 
-func TestParseTakesNothingForGranted(t *testing.T) {
+func TestParseDefaultsToMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	for _, v := range []Verdict{NotRun, Ran, MayHaveRun} {
 		is.Equal(Parse(v.String()), v)
