--- a/jayspec/check.go
+++ b/jayspec/check.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// Bounds of a declaration. They keep one job from taking the memory and the
+// Limits of a declaration. They prevent one job from exhausting the memory and the
 // record size that all jobs share.
 const (
-	// MaxTextBytes bounds a job's text.
+	// MaxTextBytes limits the length of a job's text.
 	MaxTextBytes = 4000
-	// MaxSteps bounds the steps of a job.
+	// MaxSteps limits the number of steps of a job.
 	MaxSteps = 64
-	// MaxTasks bounds the tasks of all steps of a job.
+	// MaxTasks limits the number of tasks in all steps of a job.
 	MaxTasks = 10_000
-	// MaxOccurrences bounds how often a job's steps run.
+	// MaxOccurrences limits the number of occurrences of a job.
 	MaxOccurrences = 100_000
-	// MaxRuns bounds the tasks of all occurrences of a job.
+	// MaxRuns limits the number of tasks in all occurrences of a job.
 	MaxRuns = 1_000_000
-	// MaxNeed bounds what one task may need of anything, in the units of its
-	// field; sums over all tasks stay within 64 bits.
+	// MaxNeed limits each resource that one task needs, in the unit of its field.
+	// The sum over all tasks then fits into 64 bits.
 	MaxNeed = 1 << 40
-	// idDigits is the length of a job's identity in hexadecimal digits.
+	// idDigits is the length of a job's ID in hexadecimal digits.
 	idDigits = 16
 )
 
@@ -32,7 +32,7 @@
 	return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
 }
 
-// ValidID reports whether a text can be a job's identity: 16 hexadecimal
+// ValidID reports whether a string has the form of a job's ID: 16 hexadecimal
 // digits.
 func ValidID(id string) bool {
 	if len(id) != idDigits {
@@ -47,7 +47,8 @@
 	return true
 }
 
-// Check reports the first reason for which a declaration cannot be accepted.
+// Check returns an error that wraps ErrInvalid and describes the first reason why
+// the declaration cannot be accepted, or nil.
 func (j *Job) Check() error {
 	if !ValidID(j.ID) {
 		return invalid("identity %q is not %d hexadecimal digits", j.ID, idDigits)
@@ -88,7 +89,7 @@
 	if s.Tasks < 1 || s.Tasks > MaxTasks {
 		return invalid("step %d has %d tasks; 1 to %d are allowed", number, s.Tasks, MaxTasks)
 	}
-	// An earlier step only: this also rules out cycles.
+	// A step may depend only on earlier steps, which also excludes cycles.
 	for _, before := range s.After {
 		if before < 0 || before >= number {
 			return invalid("step %d waits for step %d, which is not before it", number, before)
--- a/jayspec/job.go
+++ b/jayspec/job.go
@@ -1,5 +1,5 @@
-// Package jayspec holds what a caller declares of a job: its steps, the tasks
-// of each and when they run. It is pure.
+// Package jayspec defines the declaration of a job: its steps, the tasks of each
+// step and its schedule. It has no side effects.
 package jayspec
 
 import (
@@ -10,100 +10,107 @@
 	"jaythread/jaypool"
 )
 
-// Job is a job as it was submitted. It does not change afterwards.
+// Job is a job as submitted. It is immutable afterwards.
 type Job struct {
 	ID    string
 	Queue string
-	// Pool is where the job's tasks run. It is chosen when the job is handed
-	// in and stays, also if the queue is sent to another pool later.
+	// Pool is the pool in which the job's tasks run. It is determined when the job
+	// is submitted and does not change if the queue is assigned to another pool
+	// later.
 	Pool string
-	// Text is handed to each run as it is.
+	// Text is passed unchanged to each run.
 	Text     string
 	Steps    []Step
 	Schedule Schedule
 	Policy   Policy
-	// Accepted is the time of day at which the job was submitted.
+	// Accepted is the time at which the job was submitted.
 	Accepted time.Time
 }
 
-// Policy is what a queue promises its jobs.
+// Policy holds the service objectives of a queue and the limits that apply to its
+// jobs.
 type Policy struct {
-	// Priority zero comes first.
+	// Priority is the rank of the queue; zero is the highest.
 	Priority int
-	// Attempts is how often a task may fail before its job has failed.
+	// Attempts is how often a task may fail before its job fails.
 	Attempts int
-	// Stretch times the job's longest chain of work, plus Objective, is when
-	// the job should be done.
+	// Stretch and Objective determine the target duration of a job: the duration of
+	// its longest chain of steps multiplied by Stretch, plus Objective.
 	Stretch   float64
 	Objective time.Duration
-	// Advised says that only the advisor knows which workers may run a step.
+	// Advised states that the advisor alone determines which workers may run a
+	// step.
 	Advised bool
 }
 
-// Schedule says when the steps of a job run.
+// Schedule determines when the steps of a job run.
 type Schedule struct {
-	// Occurrences is how many times they run at set times; zero runs them
-	// once, as soon as they can.
+	// Occurrences is how often the steps run at scheduled times. Zero means that
+	// they run once, as soon as possible.
 	Occurrences int
 	First       time.Time
 	Interval    time.Duration
 }
 
-// Timed reports whether the steps run at set times.
+// Timed reports whether the steps run at scheduled times.
 func (s Schedule) Timed() bool {
 	return s.Occurrences > 0
 }
 
-// Count is how many times the steps run.
+// Count returns how often the steps run.
 func (s Schedule) Count() int {
 	return max(1, s.Occurrences)
 }
 
-// Due returns when an occurrence, counted from zero, is due.
+// Due returns the scheduled time of an occurrence, counted from zero.
 func (s Schedule) Due(occurrence int) time.Time {
 	return s.First.Add(time.Duration(occurrence) * s.Interval)
 }
 
-// Step is a set of alike tasks.
+// Step is a set of identical tasks.
 type Step struct {
 	Tasks int
-	// Need is what one task asks for.
+	// Need is the resources that one task requires.
 	Need jaypool.Resources
-	// Estimate is how long one task should take; it may be far off.
+	// Estimate is the expected duration of one task. It may be far off.
 	Estimate time.Duration
-	// After names earlier steps, counted from zero, whose tasks must all be
-	// done first.
+	// After lists the indexes of the earlier steps whose tasks must all be done
+	// before this step starts.
 	After []int
-	// Checkpoint says that the tasks save their progress.
+	// Checkpoint states that the tasks save their progress.
 	Checkpoint bool
-	// Gang tasks work only while all of them run, and end together.
+	// Gang states that the tasks make progress only while all of them run, and end
+	// together.
 	Gang bool
-	// RackLocal tasks are slow when they run on more than one rack.
+	// RackLocal states that the tasks are slow if they run on more than one rack.
 	RackLocal bool
-	// Speculative tasks may run in several copies; the first to end counts.
+	// Speculative states that several copies of a task may run; the first one to
+	// end counts.
 	Speculative bool
-	// LongRunning tasks run until the job is cancelled.
+	// LongRunning states that the tasks run until the job is cancelled.
 	LongRunning bool
-	// Fills tasks take the processors that others leave; theirs are not
-	// counted against a worker.
+	// Fills states that the tasks use processors that other tasks leave idle. Their
+	// processors are not counted against the worker's capacity.
 	Fills bool
-	// RequiredLabel is a label that the worker must have.
+	// RequiredLabel is a label that the worker must have; empty means none.
 	RequiredLabel string
-	// DataRack is where the data is; the tasks are slow elsewhere.
+	// DataRack is the rack that holds the data. The tasks are slow on other racks.
 	DataRack string
-	// Image names the program; tasks of one image behave alike.
+	// Image is the name of the program. Tasks of the same image behave alike.
 	Image string
-	// MaxPerInstance bounds the tasks of one occurrence on one worker; zero
-	// does not.
+	// MaxPerInstance limits the number of tasks of one occurrence on one worker;
+	// zero means no limit.
 	MaxPerInstance int
-	// MayMiss is how many tasks of a long-running step may be away at once by
-	// the system's own commands.
+	// MayMiss is how many tasks of a long-running step may be interrupted at the
+	// same time by the system's own commands.
 	MayMiss int
-	// Target bounds the tail of a serving task's response times; zero is none.
+	// Target limits the tail latency of a serving task's responses; zero means no
+	// target.
 	Target time.Duration
 }
 
-// LongRunning reports whether a step of the job runs until it is cancelled.
+// LongRunning reports whether the job has a step that runs until the job is
+// cancelled.
 func (j *Job) LongRunning() bool {
 	for n := range j.Steps {
 		if j.Steps[n].LongRunning {
@@ -113,7 +120,7 @@
 	return false
 }
 
-// Tasks is how many tasks one occurrence of the job has.
+// Tasks returns the number of tasks in one occurrence of the job.
 func (j *Job) Tasks() int {
 	total := 0
 	for n := range j.Steps {
@@ -122,7 +129,7 @@
 	return total
 }
 
-// Work is the declared work of one occurrence in core-seconds.
+// Work returns the declared work of one occurrence in core-seconds.
 func (j *Job) Work() float64 {
 	total := 0.0
 	for n := range j.Steps {
@@ -132,8 +139,9 @@
 	return total
 }
 
-// LongestChain is the time that one occurrence takes if each task starts as
-// soon as the steps before it have ended, by a measure of each step's time.
+// LongestChain returns the duration of one occurrence if each task starts as soon
+// as the steps that it depends on have ended. The function returns the duration of
+// a step by its index.
 func (j *Job) LongestChain(of func(step int) time.Duration) time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
@@ -148,9 +156,9 @@
 	return longest
 }
 
-// Summary describes the steps in one line for logs, as in
-// "6x3500m,13000MB,800ms>0": tasks, processors in thousandths of a core,
-// memory, estimate, the steps before it, and flags.
+// Summary describes the steps in one line for logs, such as
+// "6x3500m,13000MB,800ms>0": number of tasks, processors in thousandths of a core,
+// memory, estimate, the steps that it depends on, and flags.
 func (j *Job) Summary() string {
 	steps := make([]string, len(j.Steps))
 	for n := range j.Steps {
--- a/jayspec/spec_test.go
+++ b/jayspec/spec_test.go
@@ -12,7 +12,7 @@
 	"jaythread/jaypool"
 )
 
-func valid() *Job {
+func newValidJob() *Job {
 	return &Job{ID: "0123456789abcdef", Text: "x", Steps: []Step{
 		{Tasks: 2, Need: jaypool.Resources{ProcessorsMilli: 500}, Estimate: time.Second},
 		{Tasks: 1, After: []int{0}, Estimate: 2 * time.Second, Checkpoint: true},
@@ -20,7 +20,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	is.New(t).NoErr(valid().Check())
+	is.New(t).NoErr(newValidJob().Check())
 	cases := map[string]func(*Job){
 		"identity":       func(j *Job) { j.ID = "0123" },
 		"identity digit": func(j *Job) { j.ID = "0123456789abcdeg" },
@@ -39,7 +39,7 @@
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
-			job := valid()
+			job := newValidJob()
 			change(job)
 			is.New(t).True(errors.Is(job.Check(), ErrInvalid))
 		})
@@ -54,10 +54,10 @@
 }
 
 func TestWork(t *testing.T) {
-	is.New(t).Equal(valid().Work(), 1.0)
+	is.New(t).Equal(newValidJob().Work(), 1.0)
 }
 
 func ExampleJob_Summary() {
-	fmt.Println(valid().Summary())
+	fmt.Println(newValidJob().Summary())
 	// Output: 2x500m,0MB,1s 1x0m,0MB,2s>0,checkpoint
 }
