--- a/jayplatform/client.go
+++ b/jayplatform/client.go
@@ -11,10 +11,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxPlatformAnswer bounds what a client reads of one answer.
-const maxPlatformAnswer = 64 << 20
+// maxResponseBytes limits the body of a response.
+const maxResponseBytes = 64 << 20
 
-// Client speaks HTTP with JSON to the platform. It implements Log,
+// Client is an HTTP client of the platform with JSON bodies. It implements Log,
 // InstanceList and Workers.
 type Client struct {
 	base    string
@@ -22,36 +22,37 @@
 	http    *fasthttp.Client
 }
 
-// NewClient returns a client of the platform at a base URL. Each call ends
-// after the timeout, on top of the time for which it asks to wait.
+// NewClient returns a client for the platform at a base URL. Each call times out
+// after the timeout plus the time for which the call asks the platform to wait.
 func NewClient(base string, timeout time.Duration) *Client {
 	return &Client{
 		base:    strings.TrimSuffix(base, "/"),
 		timeout: timeout,
 		http: &fasthttp.Client{
 			Name: "jaythread",
-			// A call that is sent again by the library could append twice.
+			// A retry by the library could append a record twice.
 			MaxIdemponentCallAttempts: 1,
-			MaxResponseBodySize:       maxPlatformAnswer,
+			MaxResponseBodySize:       maxResponseBytes,
 			MaxConnsPerHost:           64,
 			NoDefaultUserAgentHeader:  true,
 		},
 	}
 }
 
-type appended struct {
+type appendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
-// Append adds a record to a stream.
+// Append implements Log.
 func (c *Client) Append(stream string, record []byte) (uint64, error) {
-	var a appended
+	var a appendResponse
 	path := "/streams/" + url.PathEscape(stream) + "/records"
 	err := c.call(fasthttp.MethodPost, path, record, 0, &a)
 	return a.Offset, err
 }
 
-// Read returns records from an offset on.
+// Read implements Log. If it returns ErrExpired, the page still holds the oldest
+// offset.
 func (c *Client) Read(stream string, from uint64, wait time.Duration) (Page, error) {
 	var p Page
 	path := fmt.Sprintf("/streams/%s/records?from=%d&waitMillis=%d", url.PathEscape(stream), from, wait.Milliseconds())
@@ -59,7 +60,7 @@
 	return p, err
 }
 
-// Since returns the instances that changed after a version.
+// Since implements InstanceList.
 func (c *Client) Since(version uint64, wait time.Duration) (Changes, error) {
 	var changes Changes
 	path := fmt.Sprintf("/instances?since=%d&waitMillis=%d", version, wait.Milliseconds())
@@ -67,17 +68,17 @@
 	return changes, err
 }
 
-// Do tells the platform to act on an instance.
+// Do implements Workers.
 func (c *Client) Do(instance string, fence uint64, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
-		return fmt.Errorf("act on %s: %w", instance, err)
+		return fmt.Errorf("encode the order for %s: %w", instance, err)
 	}
 	path := "/instances/" + url.PathEscape(instance) + "/" + OrderName(order) + "?fence=" + strconv.FormatUint(fence, 10)
 	return c.call(fasthttp.MethodPost, path, body, 0, nil)
 }
 
-// OrderName returns the last part of an order's path.
+// OrderName returns the last segment of the URL path for an order.
 func OrderName(order Order) string {
 	switch order.(type) {
 	case Drain:
@@ -96,8 +97,8 @@
 }
 
 func (c *Client) call(method, path string, body []byte, wait time.Duration, into any) error {
-	// The objects are not pooled: after a timeout the library may still hold
-	// them, and a pooled one would then carry another call's bytes.
+	// The request and response are not pooled: after a timeout the library may
+	// still use them, and a pooled object would then mix the bytes of two calls.
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
 	req.Header.SetMethod(method)
 	req.SetRequestURI(c.base + path)
@@ -107,7 +108,7 @@
 	}
 	switch status := resp.StatusCode(); {
 	case status == fasthttp.StatusGone:
-		// The answer still says from where on the records are kept.
+		// The response still contains the oldest offset that is retained.
 		_ = json.Unmarshal(resp.Body(), into)
 		return fmt.Errorf("%w: %s", ErrExpired, path)
 	case status >= 500:
--- a/jayplatform/client_test.go
+++ b/jayplatform/client_test.go
@@ -12,7 +12,8 @@
 	"jaythread/jaystandin"
 )
 
-// newPlatform serves a stand-in on loopback.
+// newPlatform serves a stand-in of the platform on loopback and returns it with a
+// client.
 func newPlatform(t *testing.T) (*jaystandin.Platform, *jayplatform.Client) {
 	t.Helper()
 	p := &jaystandin.Platform{Log: jaystandin.NewLogService(), Fleet: jaystandin.NewFleet(0, time.Hour)}
@@ -28,7 +29,7 @@
 	return p, jayplatform.NewClient("http://"+listener.Addr().String(), 5*time.Second)
 }
 
-func TestLogOverHTTP(t *testing.T) {
+func TestLogClient(t *testing.T) {
 	is := is.New(t)
 	p, c := newPlatform(t)
 	for n, text := range []string{"a", "b", "c"} {
@@ -43,13 +44,13 @@
 	p.Log.Expire("s", 2)
 	page, err = c.Read("s", 0, 0)
 	is.True(errors.Is(err, jayplatform.ErrExpired))
-	is.Equal(page.First, uint64(2)) // the refusal says where the records begin
+	is.Equal(page.First, uint64(2)) // the error response contains the oldest offset
 	p.Log.SetFaults(jaystandin.LogFaults{Down: true})
 	_, err = c.Append("s", []byte("d"))
 	is.True(errors.Is(err, jayplatform.ErrUnavailable))
 }
 
-func TestWorkersOverHTTP(t *testing.T) {
+func TestWorkersClient(t *testing.T) {
 	is := is.New(t)
 	p, c := newPlatform(t)
 	_, err := p.Fleet.AddWorker(jayplatform.Instance{ID: "seats-1"}, "seats", 8, time.Millisecond)
@@ -61,9 +62,9 @@
 	next, err := c.Since(first.Version, time.Second)
 	is.NoErr(err)
 	is.Equal(next.Instances[0].State, jayplatform.Leaving)
-	is.NoErr(c.Do("seats-1", 7, jayplatform.Drain{})) // the same order again
+	is.NoErr(c.Do("seats-1", 7, jayplatform.Drain{})) // repeating an order is allowed
 	err = c.Do("seats-1", 6, jayplatform.Drain{})
-	is.True(errors.Is(err, jayplatform.ErrRefused)) // a lower fence
+	is.True(errors.Is(err, jayplatform.ErrRefused)) // the fence is lower than the last one
 	is.NoErr(c.Do("seats-1", 8, jayplatform.StartTask{Job: "index", Replica: 2}))
 	is.True(errors.Is(c.Do("nowhere", 1, jayplatform.Drain{}), jayplatform.ErrRefused))
 }
--- a/jayplatform/platform.go
+++ b/jayplatform/platform.go
@@ -1,6 +1,7 @@
-// Package jayplatform holds the clients of the platform: the log service, the
-// instance list and the workers' control. Each stands behind a small
-// interface, since the users' own wire formats may differ from this one.
+// Package jayplatform defines the interfaces to the platform's log service,
+// instance list and worker control, and an HTTP client that implements them. The
+// interfaces are small because the users' own wire formats may differ from the
+// client's.
 package jayplatform
 
 import (
@@ -10,12 +11,14 @@
 
 // Errors of the platform.
 var (
-	// ErrUnavailable means that no answer came. The order may have taken effect.
+	// ErrUnavailable means that the platform did not respond. The call may have
+	// taken effect.
 	ErrUnavailable = errors.New("platform does not answer")
-	// ErrRefused means that the platform refused; nothing took effect.
+	// ErrRefused means that the platform refused the call, which did not take
+	// effect.
 	ErrRefused = errors.New("platform refused")
-	// ErrExpired means that the log service no longer keeps the records asked
-	// for.
+	// ErrExpired means that the log service no longer retains the requested
+	// records.
 	ErrExpired = errors.New("records have expired")
 )
 
@@ -26,29 +29,29 @@
 	Data       []byte `json:"data"`
 }
 
-// Page is a run of records.
+// Page is a range of consecutive records.
 type Page struct {
-	// First is the oldest offset that the log service keeps.
+	// First is the oldest offset that the log service retains.
 	First uint64 `json:"first"`
-	// Next is the offset that the next append will get.
+	// Next is the offset that the next appended record will get.
 	Next    uint64   `json:"next"`
 	Records []Record `json:"records"`
 }
 
 // Log is the platform's append-only log service.
 type Log interface {
-	// Append adds a record and returns its offset. After ErrUnavailable the
-	// record may stand in the stream.
+	// Append adds a record to a stream and returns its offset. If it returns
+	// ErrUnavailable, the record may have been appended.
 	Append(stream string, record []byte) (uint64, error)
-	// Read returns records from an offset on. It waits up to wait for the
-	// first one.
+	// Read returns records from an offset on. It waits for the first of them for at
+	// most the given time.
 	Read(stream string, from uint64, wait time.Duration) (Page, error)
 }
 
-// InstanceState is what the instance list says of an instance.
+// InstanceState is the state of an instance in the instance list.
 type InstanceState string
 
-// The states of the instance list.
+// States of an instance.
 const (
 	Live    InstanceState = "live"
 	Down    InstanceState = "down"
@@ -56,16 +59,16 @@
 	Gone    InstanceState = "gone"
 )
 
-// InstanceKind tells workers from the system's own instances.
+// InstanceKind distinguishes workers from the system's own instances.
 type InstanceKind string
 
-// The kinds of instances.
+// Kinds of instances.
 const (
 	Worker InstanceKind = "worker"
 	Entry  InstanceKind = "entry"
 )
 
-// Instance is an entry of the instance list.
+// Instance is an element of the instance list.
 type Instance struct {
 	ID              string        `json:"id"`
 	Kind            InstanceKind  `json:"kind"`
@@ -76,18 +79,19 @@
 	ProcessorsMilli int64         `json:"processorsMilli"`
 	MemoryMegabytes int64         `json:"memoryMegabytes"`
 	Accelerators    int64         `json:"accelerators"`
-	// Boots counts the instance's starts.
+	// Boots is the number of times that the instance has started.
 	Boots int `json:"boots"`
-	// InFlight is how many requests it is running, with the list's lag.
+	// InFlight is the number of requests that the instance is running. It lags like
+	// the list.
 	InFlight int `json:"inFlight"`
-	// Tasks are the tasks it reports, with the list's lag.
+	// Tasks holds the instance's reports on its tasks. They lag like the list.
 	Tasks []TaskReport `json:"tasks"`
 }
 
-// TaskState is what a worker reports of a task.
+// TaskState is the state of a task as reported by its worker.
 type TaskState string
 
-// The states of a task.
+// States of a task.
 const (
 	TaskRunning TaskState = "running"
 	TaskFailed  TaskState = "failed"
@@ -104,40 +108,44 @@
 	MemoryMegabytes int64     `json:"memoryMegabytes"`
 }
 
-// Changes are the instances that changed after a version.
+// Changes holds the instances that changed after a version, and the version that
+// includes these changes.
 type Changes struct {
 	Version   uint64     `json:"version"`
 	Instances []Instance `json:"instances"`
 }
 
-// InstanceList is the platform's lagging list of instances.
+// InstanceList is the platform's list of instances, which lags behind their actual
+// state.
 type InstanceList interface {
-	// Since returns what changed after a version; zero asks for everything.
+	// Since returns the instances that changed after a version. It waits for a
+	// change for at most the given time. Version zero requests all instances.
 	Since(version uint64, wait time.Duration) (Changes, error)
 }
 
-// Order is what the platform is told to do with an instance or task. Each order
-// carries a fence; a worker refuses one that is lower than the last.
+// Order is a command to the platform about an instance or one of its tasks. It is
+// sent with a fence; a worker refuses an order with a lower fence than that of the
+// last one.
 type Order interface {
 	isOrder()
 }
 
-// Drain tells a worker to refuse new work and finish what it has.
+// Drain orders a worker to refuse new work and finish the work that it has.
 type Drain struct{}
 
-// Undrain tells a worker to take new work again.
+// Undrain orders a worker to accept new work again.
 type Undrain struct{}
 
-// Reboot restarts a worker.
+// Reboot orders a restart of a worker.
 type Reboot struct{}
 
-// StartTask starts a task under a lease that the platform renews.
+// StartTask orders the start of a task under a lease that the platform renews.
 type StartTask struct {
 	Job     string `json:"job"`
 	Replica int    `json:"replica"`
 }
 
-// StopTask checkpoints a task and stops it.
+// StopTask orders a worker to checkpoint and stop a task.
 type StopTask struct {
 	Job     string `json:"job"`
 	Replica int    `json:"replica"`
@@ -149,8 +157,9 @@
 func (StartTask) isOrder() {}
 func (StopTask) isOrder()  {}
 
-// Workers is the platform's control of workers. Every order is idempotent by
-// its instance, kind and fence.
+// Workers is the platform's interface to control workers.
 type Workers interface {
+	// Do sends an order about an instance. An order is idempotent by its instance, kind
+	// and fence.
 	Do(instance string, fence uint64, order Order) error
 }
