--- a/jaymetric/jobs_test.go
+++ b/jaymetric/jobs_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// page returns what is served at a path.
-func page(t *testing.T, m *Jobs, path string) (status int, text string) {
+// getPage returns the status and the body of the response for a path.
+func getPage(t *testing.T, m *Jobs, path string) (status int, text string) {
 	t.Helper()
 	answer := httptest.NewRecorder()
 	m.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
@@ -24,19 +24,19 @@
 	m.TaskStarted("seats", time.Second)
 	t.Run("the program's own metrics are not preceded by the runtime's", func(t *testing.T) {
 		is := is.New(t)
-		status, text := page(t, m, Path)
+		status, text := getPage(t, m, Path)
 		is.Equal(status, http.StatusOK)
 		is.True(strings.Contains(text, `jaythread_pool_events_total{event="run lost",pool="seats"} 1`))
 		is.True(!strings.Contains(text, "go_goroutines"))
 	})
 	t.Run("the runtime's have a page of their own", func(t *testing.T) {
 		is := is.New(t)
-		status, text := page(t, m, RuntimePath)
+		status, text := getPage(t, m, RuntimePath)
 		is.Equal(status, http.StatusOK)
 		is.True(strings.Contains(text, "go_goroutines"))
 	})
 	t.Run("nothing else is served", func(t *testing.T) {
-		status, _ := page(t, m, "/")
+		status, _ := getPage(t, m, "/")
 		is.New(t).Equal(status, http.StatusNotFound)
 	})
 }
--- a/jaymetric/metric.go
+++ b/jaymetric/metric.go
@@ -1,5 +1,5 @@
-// Package jaymetric holds the metrics of an entry instance, named after the
-// Prometheus conventions.
+// Package jaymetric defines the Prometheus metrics of an entry instance, named
+// after the Prometheus conventions.
 package jaymetric
 
 import (
@@ -12,7 +12,7 @@
 	"jaythread/jayverdict"
 )
 
-// Metrics are the counters that requests move.
+// Metrics holds the metrics of an entry that serves callers' requests.
 type Metrics struct {
 	Registry *prometheus.Registry
 	answers  *prometheus.CounterVec
@@ -20,7 +20,7 @@
 	retries  *prometheus.CounterVec
 }
 
-// NewMetrics returns the metrics of one entry in a registry of their own.
+// NewMetrics returns the metrics of one entry in a new registry.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
@@ -44,34 +44,34 @@
 	return m
 }
 
-// Answered counts an answer.
+// Answered records a response to a caller and its latency.
 func (m *Metrics) Answered(pool string, v jayverdict.Verdict, status int, took time.Duration) {
 	class := strconv.Itoa(status/100) + "xx"
 	m.answers.WithLabelValues(pool, v.String(), class).Inc()
 	m.latency.WithLabelValues(pool).Observe(took.Seconds())
 }
 
-// Retried counts a retry.
+// Retried counts a retry of a request.
 func (m *Metrics) Retried(pool string) {
 	m.retries.WithLabelValues(pool).Inc()
 }
 
-// Gauge registers a value that is read when it is scraped.
+// Gauge registers a gauge whose value is read at each scrape.
 func (m *Metrics) Gauge(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Counter registers a count that is read when it is scraped.
+// Counter registers a counter whose value is read at each scrape.
 func (m *Metrics) Counter(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
 
-// PoolGauges registers values for each pool that are read when scraped.
+// PoolGauges registers gauges with one value for each pool, read at each scrape.
 func (m *Metrics) PoolGauges(read func() []PoolSample) {
 	m.Registry.MustRegister(&poolCollector{read: read})
 }
 
-// PoolSample is the standing of one pool.
+// PoolSample holds the values of one pool's gauges.
 type PoolSample struct {
 	Pool         string
 	Members      int
@@ -97,14 +97,14 @@
 	read func() []PoolSample
 }
 
-// Describe names the gauges.
+// Describe implements prometheus.Collector.
 func (c *poolCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descMembers, descAvailable, descMinimum, descSlack, descWaiting} {
 		ch <- d
 	}
 }
 
-// Collect reads the gauges.
+// Collect implements prometheus.Collector.
 func (c *poolCollector) Collect(ch chan<- prometheus.Metric) {
 	for _, s := range c.read() {
 		gauge := func(d *prometheus.Desc, n int) {
