--- a/jaylogger/logger.go
+++ b/jaylogger/logger.go
@@ -1,5 +1,5 @@
-// Package jaylogger makes the logger of a process: lines for people on a
-// terminal, JSON elsewhere. Each part of the system has a fixed prefix.
+// Package jaylogger creates the logger of a process. It writes readable lines to a
+// terminal and JSON elsewhere. The logger's name identifies the part of the system.
 package jaylogger
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger. The format is auto, json or text; the level is debug,
-// info or error.
+// New returns a logger that writes to a file. The format is auto, json or text; the
+// level is debug, info or error.
 func New(out *os.File, format, level string) logr.Logger {
 	return newLogger(out, isatty.IsTerminal(out.Fd()), format, level)
 }
 
-// NewBuffered returns a logger that never blocks, and its writer, which is to
-// be closed at the end.
+// NewBuffered returns a logger that never blocks, and its writer, which must be
+// closed before the process exits.
 func NewBuffered(out *os.File, format, level string) (logr.Logger, *Writer) {
 	writer := NewWriter(out)
 	return newLogger(writer, isatty.IsTerminal(out.Fd()), format, level), writer
@@ -31,27 +31,27 @@
 	if format == "text" || format == "auto" && terminal {
 		writer = zerolog.ConsoleWriter{Out: writer, TimeFormat: time.TimeOnly, NoColor: !terminal}
 	}
-	nameFields()
+	setFieldNames()
 	SetLevel(level)
 	logger := zerolog.New(writer).With().Timestamp().Logger()
 	return zerologr.New(&logger)
 }
 
-// nameFields sets the library's names of fields, once, since loggers that exist
-// read them all the time.
-var nameFields = sync.OnceFunc(func() {
+// setFieldNames sets the library's global field names. It does so only once,
+// because existing loggers read them concurrently.
+var setFieldNames = sync.OnceFunc(func() {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	zerologr.NameFieldName = "part"
 	zerologr.NameSeparator = "."
 	zerologr.VerbosityFieldName = ""
 })
 
-// SetLevel changes the level of all loggers of the process.
+// SetLevel sets the level of all loggers of the process.
 func SetLevel(level string) {
-	zerolog.SetGlobalLevel(levelOf(level))
+	zerolog.SetGlobalLevel(parseLevel(level))
 }
 
-func levelOf(level string) zerolog.Level {
+func parseLevel(level string) zerolog.Level {
 	switch level {
 	case "debug":
 		return zerolog.DebugLevel
--- a/jaylogger/writer.go
+++ b/jaylogger/writer.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// maxWaiting bounds the bytes of lines that wait for a standard output that
-	// is slow or that nobody reads: about ten thousand lines.
-	maxWaiting = 2 << 20
-	// writePause lets lines gather, so that an owner that logs a thousand lines
-	// a second makes a hundred writes of it.
-	writePause = 10 * time.Millisecond
-	// maxWrite bounds one write. A pipe takes so many bytes at once, so that no
-	// reader sees half a line.
-	maxWrite = 4096
+	// maxPendingBytes limits the size of the lines that wait for an output that is
+	// slow or that nobody reads: about ten thousand lines.
+	maxPendingBytes = 2 << 20
+	// writeInterval is the pause after each write, in which lines are collected. An
+	// owner that logs a thousand lines a second then makes a hundred writes.
+	writeInterval = 10 * time.Millisecond
+	// maxWriteBytes limits the size of one write. A pipe accepts a write of this
+	// size atomically, so that no reader sees a part of a line.
+	maxWriteBytes = 4096
 )
 
-// Writer hands lines to one goroutine that writes them. It never blocks those
-// who log: a process whose standard output nobody reads would otherwise stand
-// still with its first full pipe. Lines that find no room are lost; their
-// number is logged as soon as there is room again.
+// Writer passes lines to a goroutine that writes them, so that logging never
+// blocks. Otherwise a process whose standard output is not read would block as soon
+// as the pipe is full. Lines that exceed the buffer are dropped; their number is
+// logged once there is space again.
 type Writer struct {
 	out io.Writer
 
 	mu      sync.Mutex
-	waiting []byte
+	pending []byte
 	lost    int
 	total   int
 	closed  bool
@@ -37,35 +37,37 @@
 	done    chan struct{}
 }
 
-// NewWriter returns a writer that has begun to write to an output.
+// NewWriter returns a writer and starts its goroutine, which writes to the given
+// output.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes in a line. Its error is always nil.
+// Write adds a line to the buffer, or drops it if the buffer is full. Its error is
+// always nil.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.waiting)+len(line) > maxWaiting {
+	if len(w.pending)+len(line) > maxPendingBytes {
 		w.lost++
 		w.total++
 	} else {
-		w.waiting = append(w.waiting, line...)
+		w.pending = append(w.pending, line...)
 	}
 	w.mu.Unlock()
 	w.signal()
 	return len(line), nil
 }
 
-// Lost returns how many lines were lost so far.
+// Lost returns the number of lines dropped so far.
 func (w *Writer) Lost() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.total
 }
 
-// Close writes what waits, for as long as it may take at most.
+// Close waits until the buffered lines are written, or until the timeout expires.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
@@ -89,7 +91,7 @@
 	var lines []byte
 	for range w.wake {
 		for {
-			next, lost, closed := w.take(lines[:0])
+			next, lost, closed := w.takePending(lines[:0])
 			if lost > 0 {
 				next = appendLost(next, lost)
 			}
@@ -102,39 +104,40 @@
 			w.write(next)
 			lines = next
 			if !closed {
-				time.Sleep(writePause)
+				time.Sleep(writeInterval)
 			}
 		}
 	}
 }
 
-// write writes whole lines, as many at once as a pipe takes undivided.
+// write writes whole lines, as many at a time as a pipe accepts atomically.
 func (w *Writer) write(lines []byte) {
 	for len(lines) > 0 {
 		part := lines
-		if len(part) > maxWrite {
-			end := bytes.LastIndexByte(part[:maxWrite], '\n') + 1
+		if len(part) > maxWriteBytes {
+			end := bytes.LastIndexByte(part[:maxWriteBytes], '\n') + 1
 			if end == 0 {
 				end = bytes.IndexByte(part, '\n') + 1
 			}
 			part = part[:end]
 		}
-		// Nobody can be told that the log cannot be written.
+		// An error is ignored: the log is the only place where it could be
+		// reported.
 		_, _ = w.out.Write(part)
 		lines = lines[len(part):]
 	}
 }
 
-// take returns the lines that wait and leaves an empty buffer in their place.
-func (w *Writer) take(empty []byte) (lines []byte, lost int, closed bool) {
+// takePending returns the buffered lines and replaces the buffer by an empty one.
+func (w *Writer) takePending(empty []byte) (lines []byte, lost int, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	lines, w.waiting = w.waiting, empty
+	lines, w.pending = w.pending, empty
 	lost, w.lost = w.lost, 0
 	return lines, lost, w.closed
 }
 
-// appendLost adds a line that says how many were lost.
+// appendLost appends a log line with the number of dropped lines.
 func appendLost(lines []byte, lost int) []byte {
 	buffer := lineBuffer{lines}
 	logger := zerolog.New(&buffer).With().Timestamp().Logger()
@@ -142,12 +145,12 @@
 	return buffer.lines
 }
 
-// lineBuffer collects lines.
+// lineBuffer is a writer that collects lines in memory.
 type lineBuffer struct {
 	lines []byte
 }
 
-// Write adds a line.
+// Write appends a line.
 func (b *lineBuffer) Write(line []byte) (int, error) {
 	b.lines = append(b.lines, line...)
 	return len(line), nil
--- a/jaylogger/writer_test.go
+++ b/jaylogger/writer_test.go
@@ -10,17 +10,17 @@
 	"github.com/matryer/is"
 )
 
-// output is a standard output that can be stuck.
+// output is a standard output whose writes wait until the channel blocked is closed, if it is not nil.
 type output struct {
-	mu     sync.Mutex
-	text   bytes.Buffer
-	writes int
-	stuck  chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
+	writes  int
+	blocked chan struct{}
 }
 
 func (o *output) Write(p []byte) (int, error) {
-	if o.stuck != nil {
-		<-o.stuck
+	if o.blocked != nil {
+		<-o.blocked
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -42,18 +42,18 @@
 		is.Equal(w.Lost(), 0)
 	})
 	t.Run("a stuck output blocks nobody, and lost lines are counted", func(t *testing.T) {
-		// Symptom: an entry stops answering callers.
-		// Sequence: nobody reads its standard output any more; the pipe fills.
-		// Cause: each line was written by the goroutine that logged it.
+		// An entry stopped responding to callers once nobody read its standard
+		// output and the pipe was full, because each line was written by the
+		// goroutine that logged it.
 		is := is.New(t)
-		out := &output{stuck: make(chan struct{})}
+		out := &output{blocked: make(chan struct{})}
 		w := NewWriter(out)
 		line := []byte(strings.Repeat("x", 1023) + "\n")
-		for range 2*maxWaiting/len(line) + 10 {
+		for range 2*maxPendingBytes/len(line) + 10 {
 			_, _ = w.Write(line)
 		}
 		is.True(w.Lost() > 0)
-		close(out.stuck)
+		close(out.blocked)
 		w.Close(time.Second)
 		is.True(strings.Contains(out.text.String(), `"message":"log lines lost"`))
 	})
