--- a/jaydocument/document.go
+++ b/jaydocument/document.go
@@ -1,5 +1,5 @@
-// Package jaydocument reads JSON with comments and reports every mistake with
-// its file, line and column.
+// Package jaydocument parses JSON with comments and reports each problem with its
+// file, line and column.
 package jaydocument
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one mistake in a document.
+// Problem is one problem in a document.
 type Problem struct {
 	File   string
 	Line   int
@@ -21,15 +21,16 @@
 	Text   string
 }
 
-// String returns the problem as file:line:column: text.
+// String returns the problem in the form file:line:column: text.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Text)
 }
 
-// Problems are the mistakes of a document; as an error they stand a line each.
+// Problems holds the problems of a document. As an error, it has one line for each
+// problem.
 type Problems []Problem
 
-// Error returns all problems, a line each.
+// Error returns all problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -38,7 +39,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Document is a parsed text that can tell the place of each of its values.
+// Document is a parsed document that knows the position of each of its values.
 type Document struct {
 	file     string
 	text     []byte
@@ -46,8 +47,9 @@
 	problems Problems
 }
 
-// Decode parses text and stores it in target, a pointer to a struct. Unknown
-// fields, repeated fields and wrong types are errors of type Problems.
+// Decode parses text and stores the result in target, a pointer to a struct. Syntax
+// errors, unknown fields, repeated fields and wrong types are returned as an error
+// of type Problems.
 func Decode(file string, text []byte, target any) (*Document, error) {
 	d := &Document{file: file, text: text}
 	root, err := hujson.Parse(text)
@@ -72,13 +74,14 @@
 	return d, nil
 }
 
-// Add reports a problem with the value at a JSON pointer such as
-// /pools/2/minAvailable; a value that is absent is reported at its parent.
+// Add adds a problem with the value at a JSON pointer such as
+// /pools/2/minAvailable. A problem with an absent value gets the position of the
+// closest parent that exists.
 func (d *Document) Add(pointer, format string, args ...any) {
 	d.addAt(d.offsetOf(pointer), pointer+": "+fmt.Sprintf(format, args...))
 }
 
-// Err returns the problems that were added, or nil.
+// Err returns the problems that were added, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.problems) == 0 {
 		return nil
@@ -103,8 +106,8 @@
 	d.problems = append(d.problems, Problem{File: d.file, Line: line, Column: column, Text: text})
 }
 
-// addSyntax takes the place from the parser's message, which ends in
-// "line L, column C: text".
+// addSyntax adds a syntax error. It takes the position from the parser's message,
+// which ends in "line L, column C: text".
 func (d *Document) addSyntax(err error) {
 	p := Problem{File: d.file, Line: 1, Column: 1, Text: err.Error()}
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
@@ -125,9 +128,9 @@
 	d.addAt(0, err.Error())
 }
 
-// checkFields reports fields that the target has not. Without it a misspelt
-// field would be ignored, and an operator would trust a setting that is not
-// in force.
+// checkFields adds a problem for each field that is unknown to the target type or
+// repeated. Otherwise a misspelled field would be ignored, and an operator would
+// rely on a setting that is not in effect.
 func (d *Document) checkFields(v hujson.Value, t reflect.Type) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
--- a/jaydocument/document_test.go
+++ b/jaydocument/document_test.go
@@ -28,7 +28,7 @@
 	// Output: fleet.jsonc:3:38: /pools/0/min: -1 is negative
 }
 
-func TestAbsentValueIsReportedAtItsParent(t *testing.T) {
+func TestAddAbsentValueReportsParent(t *testing.T) {
 	is := is.New(t)
 	var f fleet
 	d, err := Decode("f", []byte("{\"pools\": [\n{\"name\": \"a\"}]}"), &f)
