--- a/jayring/ring.go
+++ b/jayring/ring.go
@@ -1,10 +1,11 @@
-// Package jayring joins the goroutines of an entry instance by bounded rings.
+// Package jayring provides a bounded queue for passing items between the goroutines
+// of an entry instance.
 package jayring
 
 import "sync"
 
-// Ring is a bounded queue between one duty and another. The zero value is not
-// usable; make one with New.
+// Ring is a bounded queue that is safe for concurrent use. Use New to create one;
+// the zero value is not usable.
 type Ring[T any] struct {
 	mu      sync.Mutex
 	items   []T
@@ -19,7 +20,8 @@
 	return &Ring[T]{items: make([]T, capacity), wake: make(chan struct{}, 1)}
 }
 
-// Offer adds an item, or returns false if the ring is full.
+// Offer adds an item. It returns false and does not add the item if the ring is
+// full.
 func (r *Ring[T]) Offer(item T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -30,8 +32,8 @@
 	return true
 }
 
-// Push adds an item and drops the oldest one if the ring is full. It suits
-// observations of which the newest supersedes the older ones.
+// Push adds an item. If the ring is full, it drops the oldest item. Push is
+// suitable for observations, where a new item supersedes older ones.
 func (r *Ring[T]) Push(item T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,7 +44,7 @@
 	r.put(item)
 }
 
-// Take removes the oldest item; it returns false if the ring is empty.
+// Take removes and returns the oldest item. It returns false if the ring is empty.
 func (r *Ring[T]) Take() (T, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,19 +55,22 @@
 	return r.take(), true
 }
 
-// Ready returns a channel that receives after items were added. A receiver
-// drains the ring with Take until it is empty.
+// Ready returns a channel that receives a value after items were added. One value
+// may stand for several items, so a receiver must call Take until the ring is
+// empty.
 func (r *Ring[T]) Ready() <-chan struct{} {
 	return r.wake
 }
 
-// Dropped returns how many items Push has dropped.
+// Dropped returns the number of items that Push has dropped.
 func (r *Ring[T]) Dropped() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.dropped
 }
 
+// put adds an item to a ring that is not full and signals the receiver. The caller
+// holds the mutex.
 func (r *Ring[T]) put(item T) {
 	r.items[(r.head+r.size)%len(r.items)] = item
 	r.size++
@@ -75,6 +80,8 @@
 	}
 }
 
+// take removes the oldest item of a ring that is not empty. The caller holds the
+// mutex.
 func (r *Ring[T]) take() T {
 	var none T
 	item := r.items[r.head]
--- a/jayring/ring_test.go
+++ b/jayring/ring_test.go
@@ -22,7 +22,7 @@
 	// 1
 }
 
-func TestReadyReceivesAfterItemsWereAdded(t *testing.T) {
+func TestReadySignalsOnceForSeveralItems(t *testing.T) {
 	is := is.New(t)
 	r := New[int](8)
 	for n := range 5 {
