--- a/jayaddress/address.go
+++ b/jayaddress/address.go
@@ -1,4 +1,4 @@
-// Package jayaddress finds loopback addresses for stand-ins, demos and tests.
+// Package jayaddress finds free loopback addresses for stand-ins, demos and tests.
 package jayaddress
 
 import (
@@ -10,28 +10,28 @@
 )
 
 const (
-	// firstPort and portCount bound the ports that are handed out. They lie below
-	// those that the kernel gives to outgoing connections: it would give a port that
-	// was found free, or whose listener is away for a moment, to the next connection
-	// of any process, and who was to listen there could not.
+	// firstPort and portCount define the range of ports that are used. It lies
+	// below the kernel's range for outgoing connections. Otherwise the kernel could
+	// assign a port that was found free, or whose listener is closed for a moment,
+	// to a connection of any process, and the port could not be listened on.
 	firstPort = 10_240
 	portCount = 20_000
-	// portStride keeps processes apart that run side by side, also those whose IDs are
-	// some dozens apart.
+	// portStride separates the first ports of processes that run at the same time,
+	// even if their process IDs differ only by some dozens.
 	portStride = 12_361
 )
 
-// turn counts the ports that were tried.
-var turn atomic.Uint32
+// attempts counts the ports that were tried.
+var attempts atomic.Uint32
 
-var errNoPort = errors.New("no port is free")
+var errNoPort = errors.New("no free loopback port")
 
-// Listen opens a listener on a free port of the loopback. Within a process each call
-// takes another port: two servers with one port, one after the other, would answer
-// for one another.
+// Listen opens a listener on a free loopback port. Within a process, each call uses
+// a different port: if two servers used the same port one after the other, requests
+// for one of them could be answered by the other.
 func Listen() (net.Listener, error) {
 	for range portCount {
-		listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", portOf(os.Getpid(), turn.Add(1))))
+		listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", portFor(os.Getpid(), attempts.Add(1))))
 		if err == nil {
 			return listener, nil
 		}
@@ -39,12 +39,12 @@
 	return nil, errNoPort
 }
 
-// portOf returns the port that a process tries at a turn.
-func portOf(process int, turn uint32) uint32 {
-	return firstPort + (uint32(process)*portStride+turn)%portCount
+// portFor returns the port that a process tries at the given attempt.
+func portFor(process int, attempt uint32) uint32 {
+	return firstPort + (uint32(process)*portStride+attempt)%portCount
 }
 
-// Free returns a loopback address at which nothing listens.
+// Free returns a loopback address on which nothing listens.
 func Free() (string, error) {
 	listener, err := Listen()
 	if err != nil {
--- a/jayaddress/address_test.go
+++ b/jayaddress/address_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-func TestAddressIsNotHandedOutTwice(t *testing.T) {
-	// Symptom: in a soak run, accepted jobs are unknown to all entries.
-	// Sequence: the address for one entry's callers and that at which another one
-	// tells that it is ready are the same port; the first cannot listen and ends,
-	// and callers take the other's empty answers for acceptances.
-	// Cause: a port that was found free was closed again and found free twice.
+func TestFreeReturnsEachAddressOnce(t *testing.T) {
+	// In a soak run, accepted jobs were unknown to all entries. One entry's caller
+	// address and another entry's readiness address had the same port: the first
+	// entry could not listen and exited, and callers took the empty responses of
+	// the other for acceptances. A port that was found free had been closed and
+	// found free a second time.
 	is := is.New(t)
 	seen := map[string]bool{}
 	for range 2_000 {
@@ -27,13 +27,11 @@
 	}
 }
 
-func TestNoPortOfOutgoingConnectionsIsHandedOut(t *testing.T) {
-	// Symptom: an entry of a test, or of the demo, cannot listen: its address is in
-	// use.
-	// Sequence: a port is found free; before the entry listens there, the kernel
-	// gives it to a connection that another process opens.
-	// Cause: the port was one of those that the kernel hands out itself, from 32768
-	// on where nothing else is set.
+func TestFreeAvoidsEphemeralPorts(t *testing.T) {
+	// An entry of a test or demo could not listen because its address was in use.
+	// The port had been found free, but before the entry listened on it, the kernel
+	// assigned it to an outgoing connection of another process. By default the
+	// kernel assigns ports from 32768 on.
 	is := is.New(t)
 	addr, err := Free()
 	is.NoErr(err)
@@ -44,12 +42,13 @@
 	is.True(number < 32768)
 }
 
-// Guards against two processes that find the same port free: the IDs of tests that run
-// side by side are often some dozens apart.
-func TestProcessesSideBySideUseOtherPorts(t *testing.T) {
-	const addresses = 200 // an installation of a test or a demo
+// TestProcessesUseDistantPorts checks that two processes do not find the same port
+// free. The process IDs of tests that run at the same time often differ only by
+// some dozens.
+func TestProcessesUseDistantPorts(t *testing.T) {
+	const addresses = 200 // the most addresses that an installation of a test or demo uses
 	for apart := 1; apart <= 40; apart++ {
-		first, second := int(portOf(1, 0)), int(portOf(1+apart, 0))
+		first, second := int(portFor(1, 0)), int(portFor(1+apart, 0))
 		between := max(first, second) - min(first, second)
 		if min(between, portCount-between) < addresses {
 			t.Errorf("processes %d apart begin %d ports apart", apart, between)
