--- a/jayclock/clock.go
+++ b/jayclock/clock.go
@@ -1,4 +1,4 @@
-// Package jayclock reads the clock that leases are measured with.
+// Package jayclock provides the clock by which leases are measured.
 package jayclock
 
 import (
@@ -8,29 +8,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the time since some fixed moment.
+// Clock returns the time elapsed since a fixed moment.
 type Clock func() time.Duration
 
-// Boot returns the time since the machine's start, with the time for which it
-// was suspended. The steady clock of the language stands still while a machine
-// is suspended: a lease measured with it would look fresh on waking, after
+// Boot returns the time since the machine booted, including the time for which it
+// was suspended. Go's monotonic clock does not advance while a machine is
+// suspended: a lease measured with it would appear valid on resume, although
 // another owner has taken over.
 func Boot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Every supported kernel has this clock.
+		// Every supported kernel provides this clock.
 		panic("read the boot clock: " + err.Error())
 	}
 	return time.Duration(t.Nano())
 }
 
-// Since returns a clock that counts from now on the language's clock, for
-// tests on a fake one.
+// Since returns a clock that counts from start by Go's own clock, for tests that
+// run with a fake clock.
 func Since(start time.Time) Clock {
 	return func() time.Duration { return time.Since(start) }
 }
 
-// Sleep waits for a while, or until the context ends.
+// Sleep waits for a duration, or until the context is done.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
