--- a/jaycli/account.go
+++ b/jaycli/account.go
@@ -43,15 +43,15 @@
 	}
 	sums := ledger.Account()
 	if name := c.String("plot"); name != "" {
-		if err := plotInto(name, sums); err != nil {
+		if err := writePlotFile(name, sums); err != nil {
 			return err
 		}
 	}
 	return sums.Write(c.Root().Writer)
 }
 
-// plotInto draws the account into a file.
-func plotInto(name string, sums jayaccount.Account) error {
+// writePlotFile writes the plot of an account to a file.
+func writePlotFile(name string, sums jayaccount.Account) error {
 	file, err := os.Create(name)
 	if err != nil {
 		return err
--- a/jaycli/app.go
+++ b/jaycli/app.go
@@ -1,4 +1,5 @@
-// Package jaycli is the command line, a file for each subcommand.
+// Package jaycli implements the command line. Most subcommands have a file of their
+// own.
 package jaycli
 
 import (
@@ -18,20 +19,20 @@
 	"jaythread/jayapi"
 )
 
-// Exit codes of every subcommand.
+// Exit codes of all subcommands.
 const (
 	ExitGood    = 0
 	ExitRefused = 1
 	ExitUsage   = 2
 )
 
-// Version is set when a release is built.
+// Version is the program's version. It is set at link time when a release is built.
 var Version = "development"
 
-// errUsage marks a call with wrong words.
+// errUsage is wrapped by errors about wrong arguments or flags.
 var errUsage = errors.New("usage")
 
-// Run runs the command line and returns the exit code. An interrupt ends the
+// Run runs the command line and returns the exit code. SIGINT and SIGTERM end the
 // running command gracefully.
 func Run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -88,21 +89,22 @@
 }
 
 func onUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
-	return usage("%v", err)
+	return usageError("%v", err)
 }
 
-func usage(format string, args ...any) error {
+func usageError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errUsage, fmt.Sprintf(format, args...))
 }
 
 func noSuchCommand(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() > 0 {
-		return usage("no such command: %s; see jaythread --help", c.Args().First())
+		return usageError("no such command: %s; see jaythread --help", c.Args().First())
 	}
 	return cli.ShowAppHelp(c)
 }
 
-// operatorFlags are the flags of the commands that call an entry.
+// operatorFlags returns the flags that are common to all subcommands that call an
+// entry, followed by further flags.
 func operatorFlags(more ...cli.Flag) []cli.Flag {
 	flags := []cli.Flag{
 		&cli.StringFlag{Name: "operators", Usage: "base `URL` of an entry's operator interface", Value: "http://127.0.0.1:8081", Sources: cli.EnvVars("JAYTHREAD_OPERATORS")},
@@ -144,13 +146,13 @@
 		Name:  "version",
 		Usage: "print the program's and the language's version",
 		Action: func(_ context.Context, c *cli.Command) error {
-			say(c, "jaythread %s %s", Version, runtime.Version())
+			printLine(c, "jaythread %s %s", Version, runtime.Version())
 			return nil
 		},
 	})
 }
 
-// command fills in what all subcommands share.
+// command sets the fields that are common to all subcommands.
 func command(c *cli.Command) *cli.Command {
 	c.OnUsageError = onUsageError
 	return c
@@ -158,7 +160,7 @@
 
 func oneArgument(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", usage("%s takes %s; see jaythread %s --help", c.Name, what, c.FullName())
+		return "", usageError("%s takes %s; see jaythread %s --help", c.Name, what, c.FullName())
 	}
 	return c.Args().First(), nil
 }
--- a/jaycli/apply.go
+++ b/jaycli/apply.go
@@ -47,7 +47,7 @@
 	}
 	decided, err := client.Publish(jayapi.Publish{Replaces: replaces, Message: c.String("message"), Document: string(document)})
 	if err != nil {
-		return explainConflict(err, path, string(document))
+		return withConflictDiff(err, path, string(document))
 	}
 	if c.Bool("wait") {
 		if err := awaitInForce(ctx, c, client, decided.Revision); err != nil {
@@ -68,8 +68,10 @@
 	return current.Revision, nil
 }
 
-// explainConflict shows both sides, so that nobody's change is lost.
-func explainConflict(err error, path, document string) error {
+// withConflictDiff adds to a conflict error the difference between the document in
+// force and the refused one, so that the user can merge both changes. Other errors
+// are returned unchanged.
+func withConflictDiff(err error, path, document string) error {
 	var refused *jayapi.Refused
 	if !errors.As(err, &refused) || refused.Problem.InForce == nil {
 		return err
@@ -88,9 +90,11 @@
 	return fmt.Errorf("%w\n%s", err, diff)
 }
 
-const inForcePoll = 50 * time.Millisecond
+// inForcePollInterval is the interval between queries for the revisions in force.
+const inForcePollInterval = 50 * time.Millisecond
 
-// awaitInForce reports each entry as it takes the revision.
+// awaitInForce waits until a revision is in force at all live entries, and reports
+// each entry that has it. It fails after the timeout of the command line.
 func awaitInForce(ctx context.Context, c *cli.Command, client *jayapi.Client, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
 	defer cancel()
@@ -111,7 +115,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("revision %d was accepted but is not in force everywhere yet: %d entries have it", revision, len(reported))
-		case <-time.After(inForcePoll):
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
--- a/jaycli/audit.go
+++ b/jaycli/audit.go
@@ -27,7 +27,8 @@
 	})
 }
 
-const followPoll = 500 * time.Millisecond
+// followPollInterval is the interval between queries with --follow.
+const followPollInterval = 500 * time.Millisecond
 
 func audit(ctx context.Context, c *cli.Command) error {
 	client := operatorClient(c)
@@ -54,12 +55,13 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(followPoll):
+		case <-time.After(followPollInterval):
 		}
 	}
 }
 
-// showAudit prints a JSON object a line, so that a follower can be piped.
+// showAudit prints the entries. In the JSON format it prints one object per line,
+// so that the output of --follow can be piped.
 func showAudit(c *cli.Command, entries []jayapi.AuditEntry) error {
 	if c.String("output") == "json" {
 		encoder := json.NewEncoder(c.Root().Writer)
@@ -71,12 +73,12 @@
 		return nil
 	}
 	for _, e := range entries {
-		say(c, "%s", auditLine(e))
+		printLine(c, "%s", formatAuditEntry(e))
 	}
 	return nil
 }
 
-func auditLine(e jayapi.AuditEntry) string {
+func formatAuditEntry(e jayapi.AuditEntry) string {
 	at := time.UnixMilli(e.UnixMillis).UTC().Format(time.RFC3339)
 	line := fmt.Sprintf("%s #%d %s: %s %s", at, e.Offset, e.Actor, e.Kind, e.Subject)
 	if e.Before != "" || e.After != "" {
--- a/jaycli/check.go
+++ b/jaycli/check.go
@@ -29,7 +29,7 @@
 
 func check(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return usage("check takes at least one FILE")
+		return usageError("check takes at least one FILE")
 	}
 	var problems []error
 	for _, file := range c.Args().Slice() {
@@ -37,7 +37,7 @@
 			problems = append(problems, err)
 			continue
 		}
-		say(c, "%s: good", file)
+		printLine(c, "%s: good", file)
 	}
 	if len(problems) > 0 {
 		return fmt.Errorf("refused:\n%w", errors.Join(problems...))
--- a/jaycli/cli_test.go
+++ b/jaycli/cli_test.go
@@ -13,15 +13,15 @@
 	"github.com/matryer/is"
 )
 
-// call runs a command line and returns its exit code and output.
-func call(t *testing.T, args ...string) (code int, out, errOut string) {
+// runCommand runs a command line and returns its exit code and output.
+func runCommand(t *testing.T, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
 	code = run(context.Background(), append([]string{"jaythread"}, args...), &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
-func file(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -31,7 +31,7 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	badFleet := file(t, "fleet.jsonc", "{\n \"pool\": []}")
+	badFleet := writeFile(t, "fleet.jsonc", "{\n \"pool\": []}")
 	cases := []struct {
 		name string
 		args []string
@@ -48,13 +48,13 @@
 		{"no such file", []string{"check", "nowhere.jsonc"}, ExitRefused, "nowhere.jsonc"},
 		{"unknown profile", []string{"demo", "--profile", "acme"}, ExitUsage, "none of mesob, qalam"},
 		{"no entry", []string{"status", "--operators", "http://127.0.0.1:1"}, ExitRefused, "does not answer"},
-		{"settings that are invalid", []string{"serve", "--config", file(t, "e.jsonc", `{"eventLoops": 0}`)}, ExitRefused, "/eventLoops"},
-		{"platform that does not answer", []string{"serve", "--config", file(t, "e.jsonc", `{"platformUrl": "http://127.0.0.1:1"}`)}, ExitRefused, "platform does not answer"},
+		{"settings that are invalid", []string{"serve", "--config", writeFile(t, "e.jsonc", `{"eventLoops": 0}`)}, ExitRefused, "/eventLoops"},
+		{"platform that does not answer", []string{"serve", "--config", writeFile(t, "e.jsonc", `{"platformUrl": "http://127.0.0.1:1"}`)}, ExitRefused, "platform does not answer"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			code, _, errOut := call(t, c.args...)
+			code, _, errOut := runCommand(t, c.args...)
 			is.Equal(code, c.code)
 			is.True(strings.Contains(errOut, c.want))
 			is.True(!strings.Contains(errOut, "goroutine ")) // no stack trace
@@ -62,9 +62,9 @@
 	}
 }
 
-func TestDemoExitsWithOneOnABrokenPromise(t *testing.T) {
+func TestDemoFailsOnBrokenPromise(t *testing.T) {
 	is := is.New(t)
-	code, out, errOut := call(t, "demo", "--for", "15s", "--break", "overlook")
+	code, out, errOut := runCommand(t, "demo", "--for", "15s", "--break", "overlook")
 	t.Logf("%s%s", out, errOut)
 	is.Equal(code, ExitRefused)
 	is.True(strings.Contains(errOut, "promises broken: budgetBreaches"))
@@ -76,20 +76,20 @@
 	is.True(report["budgetBreaches"].(float64) > 0)
 }
 
-func TestTakenPort(t *testing.T) {
+func TestStandinPortInUse(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	code, _, errOut := call(t, "standin", "--listen", listener.Addr().String())
+	code, _, errOut := runCommand(t, "standin", "--listen", listener.Addr().String())
 	is.Equal(code, ExitRefused)
 	is.True(strings.Contains(errOut, "address already in use"))
-	is.Equal(strings.Count(errOut, "\n"), 1) // one clear line
+	is.Equal(strings.Count(errOut, "\n"), 1) // the error is one line
 }
 
-func TestExplainAsksAFile(t *testing.T) {
+func TestExplainWithFleetFile(t *testing.T) {
 	is := is.New(t)
-	code, out, _ := call(t, "explain", "--fleet", "../examples/fleet.jsonc", "--method", "GET", "/fees/list")
+	code, out, _ := runCommand(t, "explain", "--fleet", "../examples/fleet.jsonc", "--method", "GET", "/fees/list")
 	is.Equal(code, ExitGood)
 	is.True(strings.Contains(out, "does not match:"))
 	is.True(strings.Contains(out, "decides:"))
--- a/jaycli/demo.go
+++ b/jaycli/demo.go
@@ -32,7 +32,7 @@
 func demo(ctx context.Context, c *cli.Command) error {
 	profile, err := jaydemo.ProfileNamed(c.String("profile"))
 	if err != nil {
-		return usage("--profile: %v", err)
+		return usageError("--profile: %v", err)
 	}
 	report, err := jaydemo.Run(ctx, jaydemo.Options{
 		Profile: profile,
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	say(c, "%s", text)
+	printLine(c, "%s", text)
 	if broken := report.Broken(); len(broken) > 0 {
 		return fmt.Errorf("promises broken: %s", strings.Join(broken, ", "))
 	}
--- a/jaycli/explain.go
+++ b/jaycli/explain.go
@@ -43,11 +43,11 @@
 	for _, pair := range c.StringSlice("header") {
 		name, value, found := strings.Cut(pair, "=")
 		if !found {
-			return usage("--header takes NAME=VALUE, not %q", pair)
+			return usageError("--header takes NAME=VALUE, not %q", pair)
 		}
 		query.Header[name] = value
 	}
-	answer, err := ask(c, query)
+	answer, err := explainRequest(c, query)
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 	})
 }
 
-func ask(c *cli.Command, query jayapi.Explain) (*jayapi.Explained, error) {
+func explainRequest(c *cli.Command, query jayapi.Explain) (*jayapi.Explained, error) {
 	fleet := c.String("fleet")
 	if fleet == "" {
 		return operatorClient(c).Explain(query)
--- a/jaycli/acts.go
+++ b/jaycli/operations.go
@@ -17,7 +17,7 @@
 		Flags:       operatorFlags(),
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() != 2 {
-				return usage("move takes an INSTANCE and a POOL")
+				return usageError("move takes an INSTANCE and a POOL")
 			}
 			instance, pool := c.Args().Get(0), c.Args().Get(1)
 			decided, err := operatorClient(c).Move(jayapi.Move{Instance: instance, Pool: pool})
@@ -57,11 +57,11 @@
 	return command(&cli.Command{
 		Name:     "quarantine",
 		Usage:    "take an instance out of service, within the budget, or give it back",
-		Commands: []*cli.Command{quarantineAct("set"), quarantineAct("lift")},
+		Commands: []*cli.Command{quarantineSubcommand("set"), quarantineSubcommand("lift")},
 	})
 }
 
-func quarantineAct(act string) *cli.Command {
+func quarantineSubcommand(act string) *cli.Command {
 	return command(&cli.Command{
 		Name:      act,
 		Usage:     act + " the quarantine of an instance",
--- a/jaycli/output.go
+++ b/jaycli/output.go
@@ -8,7 +8,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// show prints a value as JSON if asked for, and as text otherwise.
+// show prints a value as JSON if the output flag selects it, and as text by the
+// given function otherwise.
 func show(c *cli.Command, value any, text func(p *printer)) error {
 	if c.String("output") == "json" {
 		encoder := json.NewEncoder(c.Root().Writer)
@@ -20,12 +21,12 @@
 	return p.table.Flush()
 }
 
-// printer writes columns.
+// printer prints rows of aligned columns.
 type printer struct {
 	table *tabwriter.Writer
 }
 
-// row writes the cells of one line.
+// row adds one row with the given cells.
 func (p *printer) row(cells ...any) {
 	for n, cell := range cells {
 		if n > 0 {
@@ -36,6 +37,7 @@
 	_, _ = fmt.Fprintln(p.table)
 }
 
-func say(c *cli.Command, format string, args ...any) {
+// printLine prints a formatted line to standard output.
+func printLine(c *cli.Command, format string, args ...any) {
 	_, _ = fmt.Fprintf(c.Root().Writer, format+"\n", args...)
 }
--- a/jaycli/serve.go
+++ b/jaycli/serve.go
@@ -26,7 +26,7 @@
 }
 
 func serve(ctx context.Context, c *cli.Command) error {
-	options, err := settings(c.String("config"))
+	options, err := loadSettings(c.String("config"))
 	if err != nil {
 		return err
 	}
@@ -35,8 +35,8 @@
 	}
 	logger := jaylogger.New(os.Stderr, options.LogFormat, options.LogLevel)
 	platform := jayplatform.NewClient(options.PlatformURL, time.Duration(options.PlatformTimeout))
-	// The first read tells an operator at once that the address is wrong,
-	// where a retry would only show as an entry that never gets ready.
+	// The first call shows a wrong address to the operator immediately; with
+	// retries alone, the entry would only never become ready.
 	if _, err := platform.Since(0, 0); err != nil {
 		if len(options.PeerSeeds) == 0 {
 			return err
@@ -54,7 +54,9 @@
 	return entry.Stop()
 }
 
-func settings(file string) (*jayoptions.Options, error) {
+// loadSettings reads the settings from a file, or returns the defaults if no file is
+// given.
+func loadSettings(file string) (*jayoptions.Options, error) {
 	if file == "" {
 		return jayoptions.New(), nil
 	}
--- a/jaycli/serve_jobs.go
+++ b/jaycli/serve_jobs.go
@@ -22,14 +22,14 @@
 	"jaythread/platform"
 )
 
-// logFlush is how long the end of the process waits at most for its last log
-// lines.
-const logFlush = 200 * time.Millisecond
+// logFlushTimeout limits how long the process waits at its end until its last log
+// lines are written.
+const logFlushTimeout = 200 * time.Millisecond
 
 // serveJobs runs an entry that schedules jobs on the users' platform.
 func serveJobs(ctx context.Context, c *cli.Command, options *jayoptions.Options) error {
 	logger, lines := jaylogger.NewBuffered(os.Stdout, options.LogFormat, options.LogLevel)
-	defer lines.Close(logFlush)
+	defer lines.Close(logFlushTimeout)
 	metrics := jaymetric.NewJobs()
 	metrics.Counter("jaythread_lost_log_lines_total", "Log lines that found no room.", func() float64 { return float64(lines.Lost()) })
 	if err := serveMetrics(options.JobService.MetricsAddr, metrics); err != nil {
@@ -37,7 +37,7 @@
 	}
 	node := newNode(options, logger, metrics)
 	front := platform.NewFront(node)
-	if err := serveReady(options, front); err != nil {
+	if err := serveReadiness(options, front); err != nil {
 		return err
 	}
 	edge := jayedge.NewEdge(jayedge.Options{
@@ -54,11 +54,12 @@
 	if err := node.Start(context.WithoutCancel(ctx)); err != nil {
 		return err
 	}
-	reloadUntil(ctx, c, logger)
-	return stopJobs(options, node, edge)
+	reloadOnHangup(ctx, c, logger)
+	return stopNode(options, node, edge)
 }
 
-// newNode returns the entry that the settings describe, on the platform.
+// newNode returns an entry with the given settings that is connected to the
+// platform's services.
 func newNode(options *jayoptions.Options, logger logr.Logger, metrics *jaymetric.Jobs) *jaynode.Node {
 	s := &options.JobService
 	return jaynode.New(jaynode.Settings{
@@ -84,18 +85,19 @@
 	}, logger, jaynode.WithMetrics(metrics))
 }
 
-// serveReady tells the balancer whether the entry is ready.
-func serveReady(options *jayoptions.Options, front *platform.Front) error {
+// serveReadiness serves readiness checks to the load balancer.
+func serveReadiness(options *jayoptions.Options, front *platform.Front) error {
 	listener, err := net.Listen("tcp4", options.JobService.ReadyAddr)
 	if err != nil {
-		return fmt.Errorf("listen for the balancer: %w", err)
+		return fmt.Errorf("listen for readiness checks: %w", err)
 	}
 	server := &fasthttp.Server{Handler: front.Ready, NoDefaultServerHeader: true, IdleTimeout: time.Duration(options.CallerIdle)}
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
 
-// serveMetrics serves the metrics at an address, or nothing if it is empty.
+// serveMetrics serves the metrics at an address. It does nothing if the address is
+// empty.
 func serveMetrics(addr string, m *jaymetric.Jobs) error {
 	if addr == "" {
 		return nil
@@ -104,22 +106,24 @@
 	if err != nil {
 		return fmt.Errorf("listen for metrics: %w", err)
 	}
-	server := &fasthttp.Server{Handler: metricsHandler(m), NoDefaultServerHeader: true, IdleTimeout: metricsIdle}
+	server := &fasthttp.Server{Handler: metricsHandler(m), NoDefaultServerHeader: true, IdleTimeout: metricsIdleTimeout}
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
 
-// metricsIdle closes a scraper's connection that it does not use.
-const metricsIdle = time.Minute
+// metricsIdleTimeout is the time after which an idle connection of a scraper is
+// closed.
+const metricsIdleTimeout = time.Minute
 
 func metricsHandler(m *jaymetric.Jobs) fasthttp.RequestHandler {
 	return fasthttpadaptor.NewFastHTTPHandler(m.Handler())
 }
 
-// stopJobs ends an entry gracefully. Its duties go to others at once; callers
-// are served until the balancer has seen that the entry leaves, and answered
-// after that.
-func stopJobs(options *jayoptions.Options, node *jaynode.Node, edge *jayedge.Edge) error {
+// stopNode stops an entry gracefully. Its duties are released at once, so that
+// other entries take them over. Callers are served until the load balancer has
+// noticed that the entry is leaving; requests that are in progress then are still
+// answered.
+func stopNode(options *jayoptions.Options, node *jaynode.Node, edge *jayedge.Edge) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(options.StopBound))
 	defer cancel()
 	node.Leave()
@@ -129,22 +133,21 @@
 	return err
 }
 
-// reloadUntil reads the settings again at each hangup until the context ends.
-// What can change while the entry runs is the level of the logs; for all else
-// it says that a restart is needed. Without a handler a hangup would end the
-// process.
-func reloadUntil(ctx context.Context, c *cli.Command, logger logr.Logger) {
+// reloadOnHangup reads the settings again at each SIGHUP until the context is done.
+// Only the log level changes while the entry runs; other changes require a restart.
+// Without a signal handler, SIGHUP would terminate the process.
+func reloadOnHangup(ctx context.Context, c *cli.Command, logger logr.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	present := c.String("config")
+	path := c.String("config")
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		}
-		options, err := settings(present)
+		options, err := loadSettings(path)
 		if err != nil {
 			logger.Error(err, "settings not reloaded")
 			continue
--- a/jaycli/standin.go
+++ b/jaycli/standin.go
@@ -33,7 +33,7 @@
 func standin(ctx context.Context, c *cli.Command) error {
 	profile, err := jaydemo.ProfileNamed(c.String("profile"))
 	if err != nil {
-		return usage("--profile: %v", err)
+		return usageError("--profile: %v", err)
 	}
 	platform := &jaystandin.Platform{
 		Log:   jaystandin.NewLogService(),
@@ -48,7 +48,7 @@
 		return err
 	}
 	defer platform.Fleet.Close()
-	say(c, "platform: http://%s", listener.Addr())
+	printLine(c, "platform: http://%s", listener.Addr())
 	go func() {
 		<-ctx.Done()
 		_ = listener.Close()
--- a/jaycli/standin_jobs.go
+++ b/jaycli/standin_jobs.go
@@ -13,8 +13,9 @@
 	"jaythread/platform/jaystub"
 )
 
-// standinSize bounds the machines of one stand-in, which listens on a port for each.
-const standinSize = 1000
+// maxStandinMachines limits the number of machines of one stand-in, which listens
+// on one port for each machine.
+const maxStandinMachines = 1000
 
 func standinJobsCommand() *cli.Command {
 	return command(&cli.Command{
@@ -64,12 +65,12 @@
 			return fmt.Errorf("machine %d: %w", n, err)
 		}
 	}
-	say(c, "store: %s", platform.StoreAddr)
-	say(c, "inventory: %s", platform.InventoryAddr)
-	say(c, "queues: %s of the host localhost", "/"+strings.Join(pools, "/ /")+"/")
-	resize(ctx, platform, c.Duration("resize-every"), c.Int("room"), int(c.Float("resize-to")*float64(c.Int("room"))))
+	printLine(c, "store: %s", platform.StoreAddr)
+	printLine(c, "inventory: %s", platform.InventoryAddr)
+	printLine(c, "queues: %s of the host localhost", "/"+strings.Join(pools, "/ /")+"/")
+	resizePeriodically(ctx, platform, c.Duration("resize-every"), c.Int("room"), int(c.Float("resize-to")*float64(c.Int("room"))))
 	for _, broken := range platform.Judge.Broken() {
-		say(c, "broken: %s: %s", broken.Rule, broken.Text)
+		printLine(c, "broken: %s: %s", broken.Rule, broken.Text)
 	}
 	return nil
 }
@@ -78,24 +79,26 @@
 	pools := c.StringSlice("pool")
 	switch {
 	case len(pools) == 0 || slices.Contains(pools, ""):
-		return usage("--pool takes the name of a pool")
-	case c.Int("machines") < 1 || c.Int("machines") > standinSize:
-		return usage("--machines: %d is not between 1 and %d", c.Int("machines"), standinSize)
+		return usageError("--pool takes the name of a pool")
+	case c.Int("machines") < 1 || c.Int("machines") > maxStandinMachines:
+		return usageError("--machines: %d is not between 1 and %d", c.Int("machines"), maxStandinMachines)
 	case c.Int("room") < 1:
-		return usage("--room: %d is not above 0", c.Int("room"))
+		return usageError("--room: %d is not above 0", c.Int("room"))
 	case c.Float("resize-to") < 0:
-		return usage("--resize-to: %v is below 0", c.Float("resize-to"))
+		return usageError("--resize-to: %v is below 0", c.Float("resize-to"))
 	}
 	for _, pool := range c.StringSlice("unguarded") {
 		if !slices.Contains(pools, pool) {
-			return usage("--unguarded: no pool %q; there are %s", pool, strings.Join(pools, ", "))
+			return usageError("--unguarded: no pool %q; there are %s", pool, strings.Join(pools, ", "))
 		}
 	}
 	return nil
 }
 
-// resize changes the room of all machines there and back until the context ends.
-func resize(ctx context.Context, platform *jaystub.Platform, every time.Duration, whole, other int) {
+// resizePeriodically switches the capacity of all machines between two values at an
+// interval until the context is done. Without an interval it only waits for the
+// context.
+func resizePeriodically(ctx context.Context, platform *jaystub.Platform, every time.Duration, whole, other int) {
 	if every <= 0 {
 		<-ctx.Done()
 		return
--- a/jaycli/standin_jobs_test.go
+++ b/jaycli/standin_jobs_test.go
@@ -14,34 +14,34 @@
 	"github.com/matryer/is"
 )
 
-// output collects what a command writes while it runs.
+// output collects the output of a command and can be read while the command runs.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-// Write adds to the output.
+// Write appends to the output.
 func (o *output) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(p)
 }
 
-// line waits for a line that begins so, and returns the rest of it.
-func (o *output) line(t *testing.T, begins string) string {
+// waitForLine waits for a line with a prefix and returns the rest of the line.
+func (o *output) waitForLine(t *testing.T, prefix string) string {
 	t.Helper()
 	for range 500 {
 		o.mu.Lock()
 		text := o.text.String()
 		o.mu.Unlock()
 		for _, line := range strings.Split(text, "\n") {
-			if rest, found := strings.CutPrefix(line, begins); found {
+			if rest, found := strings.CutPrefix(line, prefix); found {
 				return rest
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("no line begins with %q", begins)
+	t.Fatalf("no line begins with %q", prefix)
 	return ""
 }
 
@@ -54,7 +54,7 @@
 		go func() {
 			ended <- run(ctx, []string{"jaythread", "standin", "jobs", "--machines", "4", "--resize-every", "50ms"}, &out, io.Discard)
 		}()
-		answer, err := http.Get("http://" + out.line(t, "inventory: ") + "/v1/machines")
+		answer, err := http.Get("http://" + out.waitForLine(t, "inventory: ") + "/v1/machines")
 		is.NoErr(err)
 		defer func() { _ = answer.Body.Close() }()
 		var list struct {
@@ -66,15 +66,15 @@
 		is.NoErr(json.NewDecoder(answer.Body).Decode(&list))
 		is.Equal(len(list.Machines), 4)
 		is.True(list.Machines[0].ID != "")
-		is.True(out.line(t, "store: ") != "")
-		time.Sleep(200 * time.Millisecond) // some changes of all capacities
+		is.True(out.waitForLine(t, "store: ") != "")
+		time.Sleep(200 * time.Millisecond) // time for some changes of all capacities
 		cancel()
 		is.Equal(<-ended, ExitGood)
 	})
 	wrong := func(name, says string, args ...string) {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			code, _, errOut := call(t, append([]string{"standin", "jobs"}, args...)...)
+			code, _, errOut := runCommand(t, append([]string{"standin", "jobs"}, args...)...)
 			is.Equal(code, ExitUsage)
 			is.True(strings.Contains(errOut, says))
 		})
--- a/jaycli/trace.go
+++ b/jaycli/trace.go
@@ -22,13 +22,13 @@
 	})
 }
 
-// errNoLines is reported for a job that no log names.
-var errNoLines = errors.New("no line names this job; it may have been submitted elsewhere, or its lines were lost")
+// errJobNotInLogs is returned if no log line names the job.
+var errJobNotInLogs = errors.New("no line names this job; it may have been submitted elsewhere, or its lines were lost")
 
 func trace(_ context.Context, c *cli.Command) error {
 	args := c.Args().Slice()
 	if len(args) == 0 {
-		return usage("name the job")
+		return usageError("name the job")
 	}
 	job, logs := args[0], args[1:]
 	lines, err := collectLines(c, job, logs)
@@ -36,7 +36,7 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return errNoLines
+		return errJobNotInLogs
 	}
 	jaytrace.Merge(lines)
 	return jaytrace.Write(c.Root().Writer, lines)
