--- a/jayapi/operations.go
+++ b/jayapi/operations.go
@@ -44,6 +44,7 @@
 	})
 }
 
+// versionOf returns the version of an instance, or zero if it is not known.
 func (s *Server) versionOf(instance string) uint64 {
 	var version uint64
 	s.backend.Read(func(state *jaystate.State) {
@@ -54,6 +55,8 @@
 	return version
 }
 
+// proposeByOperator proposes a command for which the operator gives no reason, and
+// writes the response.
 func (s *Server) proposeByOperator(ctx *fasthttp.RequestCtx, c *jaywire.Command) error {
 	outcome, err := s.propose(ctx, "operator", c)
 	if err != nil {
