--- a/main.go
+++ b/main.go
@@ -1,5 +1,6 @@
-// Jaythread keeps pools of instances, their jobs and their callers' requests
-// through growth, maintenance and failure.
+// Jaythread manages pools of instances: it keeps their availability budgets, runs
+// jobs on them and routes callers' requests to them through growth, maintenance and
+// failures.
 package main
 
 import (
--- a/style_test.go
+++ b/style_test.go
@@ -13,18 +13,20 @@
 	"github.com/matryer/is"
 )
 
-// figures are comments that tell of a measurement: a number with a unit, a decimal
-// fraction, or the words of a comparison. They belong into the commit or docs.
+// figures matches comments that report a measurement: a number with a unit, a
+// decimal fraction, or words of a comparison. Measurements belong in commit
+// messages or docs.
 var figures = regexp.MustCompile(`(?i)\b\d+(\.\d+)?\s?(ns|µs|ms|s|seconds?|kb|mb|gb|cores?|callers|jobs|days|hosts|workers|tasks)\b|\d\s?%|\b\d+\.\d+\b|\bbefore and after\b|\binstallations? each\b|\b(was|were) measured\b|\bworth\b.*\d`)
 
-// quoted are examples of a format.
+// quoted matches quoted examples of a format, which the check ignores.
 var quoted = regexp.MustCompile(`"[^"]*"`)
 
-// histories are comments that tell of dates or issues.
+// histories matches comments that mention a date or an issue.
 var histories = regexp.MustCompile(`\b20\d\d-\d\d|\bissue \d+|#\d+`)
 
-// TestCommentsTellNoFigures keeps comments to the purpose of the code. Comments of tests
-// may tell what was seen: a failure's test opens with its symptom.
+// TestCommentsTellNoFigures checks that comments describe the purpose of the code
+// rather than measurements or its history. Comments in tests are exempt: they may
+// describe the failure that the test guards against.
 func TestCommentsTellNoFigures(t *testing.T) {
 	for path, file := range parsed(t) {
 		for _, group := range file.comments {
@@ -38,18 +40,19 @@
 	}
 }
 
-// source is a parsed file of the program itself.
+// source is a parsed Go file.
 type source struct {
 	set      *token.FileSet
 	comments []*ast.CommentGroup
 }
 
+// place returns the line and column of a comment.
 func (s source) place(group *ast.CommentGroup) string {
 	position := s.set.Position(group.Pos())
 	return strings.TrimPrefix(position.String(), position.Filename+":")
 }
 
-// parsed returns the program's files that are neither tests nor generated, by path.
+// parsed returns the Go files that are neither tests nor generated, by path.
 func parsed(t *testing.T) map[string]source {
 	t.Helper()
 	is := is.New(t)
