--- a/jaycli/app.go
+++ b/jaycli/app.go
@@ -26,7 +26,7 @@
 	ExitUsage   = 2
 )
 
-// Version is the program's version. It is set at link time when a release is built.
+// Version is the program's version. It is set when a release is built.
 var Version = "development"
 
 // errUsage is wrapped by errors about wrong arguments or flags.
--- a/jaycli/serve_jobs.go
+++ b/jaycli/serve_jobs.go
@@ -121,7 +121,7 @@
 
 // stopNode stops an entry gracefully. Its duties are released at once, so that
 // other entries take them over. Callers are served until the load balancer has
-// noticed that the entry is leaving; requests that are in progress then are still
+// noticed that the entry is leaving; after that, the requests in progress are still
 // answered.
 func stopNode(options *jayoptions.Options, node *jaynode.Node, edge *jayedge.Edge) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(options.StopBound))
