--- a/jayoptions/jobs.go
+++ b/jayoptions/jobs.go
@@ -34,8 +34,8 @@
 	StopTime Duration `json:"stopTime"`
 	// GangTime is how long the members of a gang wait for each other.
 	GangTime Duration `json:"gangTime"`
-	// FarFactor is the factor by which a task takes longer away from its data or
-	// rack.
+	// FarFactor is the factor by which the duration of a task grows when it runs
+	// away from its data or rack.
 	FarFactor float64 `json:"farFactor"`
 	// MoveTime and MaintenanceTime are how long an instance is unavailable during a
 	// move and during maintenance.
