--- a/jayconfig/configuration.go
+++ b/jayconfig/configuration.go
@@ -52,7 +52,7 @@
 	Accelerators    int64   `json:"accelerators"`
 }
 
-// Job declares tasks that run permanently in a pool.
+// Job declares a number of identical tasks that must run in a pool.
 type Job struct {
 	Name            string  `json:"name"`
 	Pool            string  `json:"pool"`
