--- a/jayaccount/read.go
+++ b/jayaccount/read.go
@@ -1,6 +1,6 @@
-// Package jayaccount computes from the logs of all entries where the time of jobs
-// and the seconds of instances were spent. It reads log lines and writes tables; it
-// has no other input or output.
+// Package jayaccount computes from the logs of all entries how the time of jobs and
+// instances was spent. It reads log lines and writes tables; it has no other input
+// or output.
 package jayaccount
 
 import (
