--- a/jayspec/job.go
+++ b/jayspec/job.go
@@ -23,7 +23,7 @@
 	Steps    []Step
 	Schedule Schedule
 	Policy   Policy
-	// Accepted is the time at which the job was submitted.
+	// Accepted is the wall-clock time at which the job was submitted.
 	Accepted time.Time
 }
 
@@ -140,8 +140,8 @@
 }
 
 // LongestChain returns the duration of one occurrence if each task starts as soon
-// as the steps that it depends on have ended. The function returns the duration of
-// a step by its index.
+// as the steps that it depends on have ended. The argument of returns the duration
+// of a step by its index.
 func (j *Job) LongestChain(of func(step int) time.Duration) time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	longest := time.Duration(0)
