--- a/jaycli/apply.go
+++ b/jaycli/apply.go
@@ -69,8 +69,8 @@
 }
 
 // withConflictDiff adds to a conflict error the difference between the document in
-// force and the refused one, so that the user can merge both changes. Other errors
-// are returned unchanged.
+// force and the refused one, so that neither change is lost. Other errors are
+// returned unchanged.
 func withConflictDiff(err error, path, document string) error {
 	var refused *jayapi.Refused
 	if !errors.As(err, &refused) || refused.Problem.InForce == nil {
