--- a/jayoptions/options_test.go
+++ b/jayoptions/options_test.go
@@ -21,16 +21,16 @@
 func TestParseReportsPosition(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"unknown field", `{"callerAdr": "127.0.0.1:1"}`, `entry.jsonc:1:2: unknown field "callerAdr"`},
-		{"no IP", "{\n  \"callerAddr\": \"localhost:80\"}", "entry.jsonc:2:17: /callerAddr"},
-		{"no port", `{"peerAddr": "127.0.0.1"}`, "is not IP:PORT"},
-		{"out of range", `{"eventLoops": 0}`, "0 is outside 1 to 64"},
-		{"bad duration", `{"queueTime": "5"}`, "entry.jsonc:1:"},
-		{"too long", `{"queueTime": "2h"}`, "2h0m0s is outside 1ms to 1m0s"},
-		{"operators off loopback", `{"operatorAddr": "10.0.0.1:80"}`, "needs operatorToken"},
-		{"peers off loopback", `{"peerAddr": "10.0.0.1:80"}`, "needs peerCertFile"},
-		{"half of the keys", `{"peerCertFile": "a"}`, "go together"},
-		{"level", `{"logLevel": "loud"}`, "none of [debug info error]"},
-		{"share", `{"retryShare": 2}`, "outside 0 to 1"},
+		{"host name instead of an IP address", "{\n  \"callerAddr\": \"localhost:80\"}", "entry.jsonc:2:17: /callerAddr"},
+		{"missing port", `{"peerAddr": "127.0.0.1"}`, "is not IP:PORT"},
+		{"count out of range", `{"eventLoops": 0}`, "0 is outside 1 to 64"},
+		{"duration without a unit", `{"queueTime": "5"}`, "entry.jsonc:1:"},
+		{"duration out of range", `{"queueTime": "2h"}`, "2h0m0s is outside 1ms to 1m0s"},
+		{"operator address off loopback without a token", `{"operatorAddr": "10.0.0.1:80"}`, "needs operatorToken"},
+		{"peer address off loopback without TLS keys", `{"peerAddr": "10.0.0.1:80"}`, "needs peerCertFile"},
+		{"incomplete TLS keys", `{"peerCertFile": "a"}`, "go together"},
+		{"unknown log level", `{"logLevel": "loud"}`, "none of [debug info error]"},
+		{"share out of range", `{"retryShare": 2}`, "outside 0 to 1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
