--- a/jayconfig/configuration_test.go
+++ b/jayconfig/configuration_test.go
@@ -22,14 +22,14 @@
 	cases := []struct {
 		name, from, to, want string
 	}{
-		{"syntax", `"teams": [`, `"teams": [[`, "fleet.jsonc:"},
+		{"syntax error", `"teams": [`, `"teams": [[`, "fleet.jsonc:"},
 		{"unknown field", `"minAvailable"`, `"minAvailble"`, `fleet.jsonc:4:57: unknown field "minAvailble"; known here: name,`},
 		{"wrong type", `"minAvailable": 2`, `"minAvailable": "two"`, "fleet.jsonc:4:"},
 		{"unknown pool", `"route": "seats"`, `"route": "seat"`, `fleet.jsonc:7:65: /rules/0/then/route: no pool "seat" is declared`},
 		{"unknown team", `"team": "t"`, `"team": "x"`, `fleet.jsonc:6:51: /jobs/0/team`},
-		{"time zone", `Addis_Ababa`, `Atlantis`, "fleet.jsonc:3:15: /timeZone"},
-		{"field twice", `"about": "request"`, `"about": "request", "about": "wave"`, `field "about" stands twice`},
-		{"survive", `"minAvailable": 2`, `"survive": "town"`, "none of rack, dataCenter"},
+		{"unknown time zone", `Addis_Ababa`, `Atlantis`, "fleet.jsonc:3:15: /timeZone"},
+		{"repeated field", `"about": "request"`, `"about": "request", "about": "wave"`, `field "about" stands twice`},
+		{"unknown failure domain", `"minAvailable": 2`, `"survive": "town"`, "none of rack, dataCenter"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 			is.True(strings.Contains(err.Error(), c.want))
 		})
 	}
-	t.Run("good", func(t *testing.T) {
+	t.Run("valid", func(t *testing.T) {
 		is := is.New(t)
 		c, err := Parse("fleet.jsonc", []byte(validConfiguration))
 		is.NoErr(err)
