--- a/jayapi/api_test.go
+++ b/jayapi/api_test.go
@@ -103,7 +103,7 @@
 }
 
 func TestPublish(t *testing.T) {
-	t.Run("a conflict shows the other side", func(t *testing.T) {
+	t.Run("a conflict returns the configuration in force", func(t *testing.T) {
 		is := is.New(t)
 		_, c := newConfiguredAPI(t)
 		_, err := c.Publish(Publish{Replaces: 0, Message: "late", Document: document})
@@ -112,14 +112,14 @@
 		is.Equal(r.Problem.InForce.Revision, uint64(1))
 		is.Equal(r.Problem.InForce.Author, "aster")
 	})
-	t.Run("an invalid document names the place", func(t *testing.T) {
+	t.Run("an invalid document is refused", func(t *testing.T) {
 		is := is.New(t)
 		_, c := newConfiguredAPI(t)
 		_, err := c.Publish(Publish{Replaces: 1, Document: `{"pools": 3}`})
 		is.True(err != nil)
 		is.Equal(requireRefused(t, err).Status, 422)
 	})
-	t.Run("an outage leaves the outcome open", func(t *testing.T) {
+	t.Run("an unavailable log leaves the outcome unknown", func(t *testing.T) {
 		is := is.New(t)
 		b, c := newConfiguredAPI(t)
 		b.down = true
@@ -128,7 +128,7 @@
 		is.Equal(r.Status, 504)
 		is.True(r.Problem.MayHaveTakenEffect)
 	})
-	t.Run("in force is asked of each entry", func(t *testing.T) {
+	t.Run("the revision in force is reported for each entry", func(t *testing.T) {
 		is := is.New(t)
 		_, c := newConfiguredAPI(t)
 		answer, err := c.InForce(1)
