--- a/jayaccount/account_test.go
+++ b/jayaccount/account_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestQueueRows(t *testing.T) {
-	t.Run("times of a job", func(t *testing.T) {
+	t.Run("durations of a job", func(t *testing.T) {
 		is := is.New(t)
 		a := accountOf(t, stateLine(0, 1, 1, 0, 0, 0, 0, 500, 1000)+jobLines("a", "q", 100, 300, 400, 2000, 1))
 		is.Equal(len(a.Queues), 1)
@@ -57,7 +57,7 @@
 		is.Equal(r.Shown, 50*time.Millisecond)
 		is.Equal(r.Starts, 1)
 	})
-	t.Run("late, refused, open", func(t *testing.T) {
+	t.Run("late, refused and open jobs", func(t *testing.T) {
 		is := is.New(t)
 		log := jobLines("a", "q", 100, 0, 400, 499, 1) +
 			logLine(200, `"message":"job not accepted","job":"b","queue":"q","pool":"p","took":"10ms"`) +
@@ -68,7 +68,7 @@
 		is.Equal(r.Refused, 1)
 		is.Equal(r.Open, 1)
 	})
-	t.Run("why tasks waited", func(t *testing.T) {
+	t.Run("waits by cause", func(t *testing.T) {
 		is := is.New(t)
 		log := stateLine(0, 2, 1, 0, 0, 1, 0, 0, 1000) + stateLine(190, 2, 1, 0, 0, 0, 3, 0, 1000) +
 			jobLines("a", "q", 0, 300, 100, 900, 1) + jobLines("late", "q", 3000, 100, 100, 900, 1)
@@ -77,14 +77,14 @@
 		is.Equal(r.Waited[Elsewhere], 200*time.Millisecond)
 		is.Equal(r.Waited[Unknown], 100*time.Millisecond) // the last state is older than maxStateAge
 	})
-	t.Run("a task that is started again", func(t *testing.T) {
+	t.Run("repeated run of a task", func(t *testing.T) {
 		is := is.New(t)
 		log := jobLines("a", "q", 0, 0, 400, 900, 1) + logLine(300, `"message":"run started","task":"a.0.0.0","pool":"p"`)
 		r := accountOf(t, log).Queues[0]
 		is.Equal(r.Starts, 2)
 		is.Equal(r.Repeats, 1)
 	})
-	t.Run("lines that are none", func(t *testing.T) {
+	t.Run("malformed lines are skipped", func(t *testing.T) {
 		is := is.New(t)
 		is.Equal(len(accountOf(t, "text\n{broken\n{}\n").Queues), 0)
 	})
@@ -117,10 +117,10 @@
 		log  string
 		want Best
 	}{
-		{"all fit", jobLines("a", "q", 0, 0, 900, 2000, 4) + jobLines("b", "q", 0, 0, 900, 2000, 3), Best{Jobs: 2, InTime: 2, Possible: 2}},
-		{"late in fact, not at best", jobLines("a", "q", 0, 1500, 900, 2000, 4), Best{Jobs: 1, InTime: 0, Possible: 1}},
-		{"more than there is room for", jobLines("a", "q", 0, 0, 900, 1100, 4) + jobLines("b", "q", 0, 0, 1900, 1200, 4), Best{Jobs: 2, InTime: 1, Possible: 1}},
-		{"jobs without a time do not count", logLine(10, `"message":"job accepted","job":"a","queue":"q","pool":"p","took":"1ms"`), Best{}},
+		{"enough capacity for all jobs", jobLines("a", "q", 0, 0, 900, 2000, 4) + jobLines("b", "q", 0, 0, 900, 2000, 3), Best{Jobs: 2, InTime: 2, Possible: 2}},
+		{"late job that could have been in time", jobLines("a", "q", 0, 1500, 900, 2000, 4), Best{Jobs: 1, InTime: 0, Possible: 1}},
+		{"more work than capacity", jobLines("a", "q", 0, 0, 900, 1100, 4) + jobLines("b", "q", 0, 0, 1900, 1200, 4), Best{Jobs: 2, InTime: 1, Possible: 1}},
+		{"jobs without a target time are not counted", logLine(10, `"message":"job accepted","job":"a","queue":"q","pool":"p","took":"1ms"`), Best{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
