--- a/jaytrace/trace_test.go
+++ b/jaytrace/trace_test.go
@@ -50,7 +50,7 @@
 			is.True(strings.Contains(out.String(), word))
 		}
 	})
-	t.Run("clock differences are named", func(t *testing.T) {
+	t.Run("clock differences are reported", func(t *testing.T) {
 		is := is.New(t)
 		found := ClockDifferences(collect(t, logOfA, logOfB))
 		is.Equal(len(found), 1)
