--- a/jayspec/spec_test.go
+++ b/jayspec/spec_test.go
@@ -22,20 +22,20 @@
 func TestCheck(t *testing.T) {
 	is.New(t).NoErr(newValidJob().Check())
 	cases := map[string]func(*Job){
-		"identity":       func(j *Job) { j.ID = "0123" },
-		"identity digit": func(j *Job) { j.ID = "0123456789abcdeg" },
-		"text":           func(j *Job) { j.Text = strings.Repeat("x", MaxTextBytes+1) },
-		"no steps":       func(j *Job) { j.Steps = nil },
-		"many steps":     func(j *Job) { j.Steps = make([]Step, MaxSteps+1) },
-		"no tasks":       func(j *Job) { j.Steps[0].Tasks = 0 },
-		"many tasks":     func(j *Job) { j.Steps[0].Tasks = MaxTasks + 1 },
-		"many together":  func(j *Job) { j.Steps[0].Tasks = MaxTasks },
-		"itself":         func(j *Job) { j.Steps[0].After = []int{0} },
-		"later step":     func(j *Job) { j.Steps[0].After = []int{1} },
-		"negative step":  func(j *Job) { j.Steps[1].After = []int{-1} },
-		"negative need":  func(j *Job) { j.Steps[0].Need.MemoryMegabytes = -1 },
-		"occurrences":    func(j *Job) { j.Schedule.Occurrences = MaxOccurrences + 1 },
-		"interval":       func(j *Job) { j.Schedule.Interval = -1 },
+		"ID too short":                    func(j *Job) { j.ID = "0123" },
+		"ID with a non-hexadecimal digit": func(j *Job) { j.ID = "0123456789abcdeg" },
+		"text too long":                   func(j *Job) { j.Text = strings.Repeat("x", MaxTextBytes+1) },
+		"no steps":                        func(j *Job) { j.Steps = nil },
+		"too many steps":                  func(j *Job) { j.Steps = make([]Step, MaxSteps+1) },
+		"step without tasks":              func(j *Job) { j.Steps[0].Tasks = 0 },
+		"too many tasks in a step":        func(j *Job) { j.Steps[0].Tasks = MaxTasks + 1 },
+		"too many tasks in all steps":     func(j *Job) { j.Steps[0].Tasks = MaxTasks },
+		"dependency on itself":            func(j *Job) { j.Steps[0].After = []int{0} },
+		"dependency on a later step":      func(j *Job) { j.Steps[0].After = []int{1} },
+		"dependency on a negative step":   func(j *Job) { j.Steps[1].After = []int{-1} },
+		"negative need":                   func(j *Job) { j.Steps[0].Need.MemoryMegabytes = -1 },
+		"too many occurrences":            func(j *Job) { j.Schedule.Occurrences = MaxOccurrences + 1 },
+		"negative interval":               func(j *Job) { j.Schedule.Interval = -1 },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
