--- a/jaymetric/jobs_test.go
+++ b/jaymetric/jobs_test.go
@@ -22,20 +22,20 @@
 	m := NewJobs()
 	m.PoolEvent("seats", "run lost")
 	m.TaskStarted("seats", time.Second)
-	t.Run("the program's own metrics are not preceded by the runtime's", func(t *testing.T) {
+	t.Run("the program's metrics exclude the runtime's", func(t *testing.T) {
 		is := is.New(t)
 		status, text := getPage(t, m, Path)
 		is.Equal(status, http.StatusOK)
 		is.True(strings.Contains(text, `jaythread_pool_events_total{event="run lost",pool="seats"} 1`))
 		is.True(!strings.Contains(text, "go_goroutines"))
 	})
-	t.Run("the runtime's have a page of their own", func(t *testing.T) {
+	t.Run("the runtime's metrics have a separate path", func(t *testing.T) {
 		is := is.New(t)
 		status, text := getPage(t, m, RuntimePath)
 		is.Equal(status, http.StatusOK)
 		is.True(strings.Contains(text, "go_goroutines"))
 	})
-	t.Run("nothing else is served", func(t *testing.T) {
+	t.Run("other paths are not found", func(t *testing.T) {
 		status, _ := getPage(t, m, "/")
 		is.New(t).Equal(status, http.StatusNotFound)
 	})
