--- a/jaylogger/writer_test.go
+++ b/jaylogger/writer_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestWriter(t *testing.T) {
-	t.Run("lines are written in order, many at once", func(t *testing.T) {
+	t.Run("lines are written in order and in batches", func(t *testing.T) {
 		is := is.New(t)
 		out := &output{}
 		w := NewWriter(out)
@@ -41,7 +41,7 @@
 		is.True(out.writes < 100)
 		is.Equal(w.Lost(), 0)
 	})
-	t.Run("a stuck output blocks nobody, and lost lines are counted", func(t *testing.T) {
+	t.Run("a blocked output does not block logging, and dropped lines are counted", func(t *testing.T) {
 		// An entry stopped responding to callers once nobody read its standard
 		// output and the pipe was full, because each line was written by the
 		// goroutine that logged it.
