--- a/jaycli/cli_test.go
+++ b/jaycli/cli_test.go
@@ -42,14 +42,14 @@
 		{"no such command", []string{"fly"}, ExitUsage, "no such command"},
 		{"no such flag", []string{"status", "--fast"}, ExitUsage, "fast"},
 		{"missing argument", []string{"check"}, ExitUsage, "at least one FILE"},
-		{"wrong value", []string{"status", "--output", "xml"}, ExitUsage, "none of"},
-		{"good files", []string{"check", "../examples/entry.jsonc", "../examples/fleet.jsonc"}, ExitGood, ""},
+		{"invalid flag value", []string{"status", "--output", "xml"}, ExitUsage, "none of"},
+		{"valid files", []string{"check", "../examples/entry.jsonc", "../examples/fleet.jsonc"}, ExitGood, ""},
 		{"invalid file", []string{"check", badFleet}, ExitRefused, `fleet.jsonc:2:2: unknown field "pool"`},
 		{"no such file", []string{"check", "nowhere.jsonc"}, ExitRefused, "nowhere.jsonc"},
 		{"unknown profile", []string{"demo", "--profile", "acme"}, ExitUsage, "none of mesob, qalam"},
-		{"no entry", []string{"status", "--operators", "http://127.0.0.1:1"}, ExitRefused, "does not answer"},
-		{"settings that are invalid", []string{"serve", "--config", writeFile(t, "e.jsonc", `{"eventLoops": 0}`)}, ExitRefused, "/eventLoops"},
-		{"platform that does not answer", []string{"serve", "--config", writeFile(t, "e.jsonc", `{"platformUrl": "http://127.0.0.1:1"}`)}, ExitRefused, "platform does not answer"},
+		{"unreachable entry", []string{"status", "--operators", "http://127.0.0.1:1"}, ExitRefused, "does not answer"},
+		{"invalid settings", []string{"serve", "--config", writeFile(t, "e.jsonc", `{"eventLoops": 0}`)}, ExitRefused, "/eventLoops"},
+		{"unreachable platform", []string{"serve", "--config", writeFile(t, "e.jsonc", `{"platformUrl": "http://127.0.0.1:1"}`)}, ExitRefused, "platform does not answer"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/jaycli/standin_jobs_test.go
+++ b/jaycli/standin_jobs_test.go
@@ -46,7 +46,7 @@
 }
 
 func TestStandinJobs(t *testing.T) {
-	t.Run("lists its machines, and resizes them", func(t *testing.T) {
+	t.Run("lists and resizes its machines", func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		var out output
@@ -79,9 +79,9 @@
 			is.True(strings.Contains(errOut, says))
 		})
 	}
-	wrong("no machines", "--machines: 0 is not between 1 and 1000", "--machines", "0")
-	wrong("no room", "--room: 0 is not above 0", "--room", "0")
-	wrong("a share below zero", "--resize-to: -1 is below 0", "--resize-to=-1")
-	wrong("a pool that does not exist", `no pool "x"`, "--unguarded", "x")
-	wrong("no time", "resize-every", "--resize-every", "soon")
+	wrong("zero machines", "--machines: 0 is not between 1 and 1000", "--machines", "0")
+	wrong("zero capacity", "--room: 0 is not above 0", "--room", "0")
+	wrong("negative share", "--resize-to: -1 is below 0", "--resize-to=-1")
+	wrong("unknown pool", `no pool "x"`, "--unguarded", "x")
+	wrong("invalid duration", "resize-every", "--resize-every", "soon")
 }
