--- a/jayconfig/configuration_test.go
+++ b/jayconfig/configuration_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `{
+const validConfiguration = `{
   // a comment
   "timeZone": "Africa/Addis_Ababa",
   "pools": [{"name": "seats", "instances": ["seats-*"], "minAvailable": 2}],
@@ -18,33 +18,33 @@
   "rules": [{"name": "r", "about": "request", "then": {"route": "seats"}}],
 }`
 
-func TestParseNamesThePlace(t *testing.T) {
+func TestParseReportsPosition(t *testing.T) {
 	cases := []struct {
 		name, from, to, want string
 	}{
-		{"syntax", `"teams": [`, `"teams": [[`, "fleet.jsonc:"},
+		{"syntax error", `"teams": [`, `"teams": [[`, "fleet.jsonc:"},
 		{"unknown field", `"minAvailable"`, `"minAvailble"`, `fleet.jsonc:4:57: unknown field "minAvailble"; known here: name,`},
 		{"wrong type", `"minAvailable": 2`, `"minAvailable": "two"`, "fleet.jsonc:4:"},
 		{"unknown pool", `"route": "seats"`, `"route": "seat"`, `fleet.jsonc:7:65: /rules/0/then/route: no pool "seat" is declared`},
 		{"unknown team", `"team": "t"`, `"team": "x"`, `fleet.jsonc:6:51: /jobs/0/team`},
-		{"time zone", `Addis_Ababa`, `Atlantis`, "fleet.jsonc:3:15: /timeZone"},
-		{"field twice", `"about": "request"`, `"about": "request", "about": "wave"`, `field "about" stands twice`},
-		{"survive", `"minAvailable": 2`, `"survive": "town"`, "none of rack, dataCenter"},
+		{"unknown time zone", `Addis_Ababa`, `Atlantis`, "fleet.jsonc:3:15: /timeZone"},
+		{"repeated field", `"about": "request"`, `"about": "request", "about": "wave"`, `field "about" stands twice`},
+		{"unknown failure domain", `"minAvailable": 2`, `"survive": "town"`, "none of rack, dataCenter"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(good, c.from, c.to, 1)
-			is.True(text != good)
+			text := strings.Replace(validConfiguration, c.from, c.to, 1)
+			is.True(text != validConfiguration)
 			_, err := Parse("fleet.jsonc", []byte(text))
 			is.True(err != nil)
 			t.Log(err)
 			is.True(strings.Contains(err.Error(), c.want))
 		})
 	}
-	t.Run("good", func(t *testing.T) {
+	t.Run("valid", func(t *testing.T) {
 		is := is.New(t)
-		c, err := Parse("fleet.jsonc", []byte(good))
+		c, err := Parse("fleet.jsonc", []byte(validConfiguration))
 		is.NoErr(err)
 		pool, ok := c.PoolOf("seats-07")
 		is.True(ok)
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestReadDirNamesTheFile(t *testing.T) {
+func TestReadDirReportsFile(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	write := func(name, text string) {
@@ -69,10 +69,11 @@
 	is.True(strings.Contains(err.Error(), "3-rules.jsonc:2:"))
 }
 
-// FuzzConfiguration looks for texts that make the parser panic, and for ones
-// that are accepted without what the rest of the system relies on.
+// FuzzConfiguration checks that no input makes the parser panic, and that an
+// accepted configuration has a time zone, pools and an action for each rule, on
+// which the rest of the system relies.
 func FuzzConfiguration(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfiguration))
 	f.Add([]byte(`{"pools":[{"name":"a","instances":["*"]}],"rules":[{"name":"x","about":"wave","then":{"pauseWave":true}}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := Parse("fuzz", text)
--- a/jaytrace/trace_test.go
+++ b/jaytrace/trace_test.go
@@ -50,7 +50,7 @@
 			is.True(strings.Contains(out.String(), word))
 		}
 	})
-	t.Run("clock differences are named", func(t *testing.T) {
+	t.Run("clock differences are reported", func(t *testing.T) {
 		is := is.New(t)
 		found := ClockDifferences(collect(t, logOfA, logOfB))
 		is.Equal(len(found), 1)
@@ -58,7 +58,7 @@
 	})
 }
 
-// Example shows a timeline of two entries' logs.
+// Example merges the logs of two entries into a timeline.
 func Example() {
 	a, _ := Collect(strings.NewReader(logOfA), "5c0e")
 	b, _ := Collect(strings.NewReader(logOfB), "5c0e")
