--- a/jaynode/meters.go
+++ b/jaynode/meters.go
@@ -134,14 +134,14 @@
 }
 
 // countEvent counts an event of a pool.
-func (d *poolDuty) countEvent(note jaysched.Note) {
+func (d *poolDuty) countEvent(event jaysched.Event) {
 	m := d.node.metrics
-	m.PoolEvent(d.name, string(note.Kind))
-	switch note.Kind {
+	m.PoolEvent(d.name, string(event.Kind))
+	switch event.Kind {
 	case jaysched.RunStarted:
-		m.TaskStarted(d.name, note.Waited)
+		m.TaskStarted(d.name, event.Waited)
 	case jaysched.JobEnded:
-		m.JobEnded(d.name, note.Waited)
+		m.JobEnded(d.name, event.Waited)
 	}
 }
 
--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -140,7 +140,7 @@
 	d.crowded.Store(d.pool.Crowded())
 	d.flush()
 	d.expire(now)
-	d.logNotes()
+	d.logEvents()
 }
 
 // ask runs a function in the duty's goroutine and waits for it. It returns false if the
@@ -308,29 +308,29 @@
 	}
 }
 
-func (d *poolDuty) logNotes() {
-	for _, note := range d.pool.Notes() {
-		d.countEvent(note)
-		values := []any{"at", note.At.String()}
-		if note.Job != "" {
-			values = append(values, "job", note.Job)
+func (d *poolDuty) logEvents() {
+	for _, event := range d.pool.TakeEvents() {
+		d.countEvent(event)
+		values := []any{"at", event.At.String()}
+		if event.Job != "" {
+			values = append(values, "job", event.Job)
 		}
-		if note.Worker != "" {
-			values = append(values, "worker", note.Worker)
+		if event.Worker != "" {
+			values = append(values, "worker", event.Worker)
 		}
-		if note.Run.Number > 0 {
-			values = append(values, "task", note.Run.Task.String(), "run", note.Run.Number)
+		if event.Run.Number > 0 {
+			values = append(values, "task", event.Run.Task.String(), "run", event.Run.Number)
 		}
-		if note.Detail != "" {
-			values = append(values, "detail", note.Detail)
+		if event.Detail != "" {
+			values = append(values, "detail", event.Detail)
 		}
-		if note.Waited > 0 {
-			values = append(values, "waited", note.Waited.String())
+		if event.Waited > 0 {
+			values = append(values, "waited", event.Waited.String())
 		}
-		if note.Since > 0 {
-			values = append(values, "since", note.Since.String())
+		if event.Since > 0 {
+			values = append(values, "since", event.Since.String())
 		}
-		d.logger.Info(string(note.Kind), values...)
+		d.logger.Info(string(event.Kind), values...)
 	}
 }
 
--- a/jayreplay/owner.go
+++ b/jayreplay/owner.go
@@ -205,16 +205,16 @@
 
 // recordOutcomes records when jobs were first shown as done or failed.
 func (o *poolOwner) recordOutcomes() {
-	for _, n := range o.pool.Notes() {
-		if n.Kind != jaysched.JobRecorded {
+	for _, e := range o.pool.TakeEvents() {
+		if e.Kind != jaysched.JobRecorded {
 			continue
 		}
-		j := o.sim.jobs[n.Job]
-		switch n.Detail {
+		j := o.sim.jobs[e.Job]
+		switch e.Detail {
 		case jaysched.Done.String():
-			j.Done = cmp.Or(j.Done, n.At)
+			j.Done = cmp.Or(j.Done, e.At)
 		case jaysched.Failed.String():
-			j.Failed = cmp.Or(j.Failed, n.At)
+			j.Failed = cmp.Or(j.Failed, e.At)
 		}
 	}
 }
--- a/jaysched/capacity.go
+++ b/jaysched/capacity.go
@@ -15,7 +15,7 @@
 // resize sets a new capacity of a worker. Runs beyond the new capacity continue, and no run is
 // started until there is room.
 func (p *Pool) resize(w *worker, capacity jaypool.Resources, now time.Duration) {
-	p.note(Note{Kind: WorkerResized, Worker: w.ID, Detail: fmt.Sprintf("%v instead of %v", sizeText(capacity), sizeText(w.Capacity))}, now)
+	p.recordEvent(Event{Kind: WorkerResized, Worker: w.ID, Detail: fmt.Sprintf("%v instead of %v", sizeText(capacity), sizeText(w.Capacity))}, now)
 	w.free = w.free.Add(capacity.Sub(w.Capacity))
 	w.Capacity = capacity
 	w.fullUntil, w.fullFor = 0, 0
@@ -57,7 +57,7 @@
 	}
 	if !s.tooLarge {
 		s.tooLarge = true
-		p.note(Note{Kind: TaskMisfit, Job: s.job.spec.ID, Detail: fmt.Sprintf("step %d needs %v, the largest worker has %v", s.id.Step, sizeText(need), sizeText(p.maxCapacity))}, now)
+		p.recordEvent(Event{Kind: TaskMisfit, Job: s.job.spec.ID, Detail: fmt.Sprintf("step %d needs %v, the largest worker has %v", s.id.Step, sizeText(need), sizeText(p.maxCapacity))}, now)
 	}
 }
 
--- a/jaysched/capacity_test.go
+++ b/jaysched/capacity_test.go
@@ -180,10 +180,10 @@
 	w.resizeWorker("w1", 800, 1000)
 	declare(w, newSpec("j", 1))
 	w.reportFor(time.Second)
-	var said []Note
-	for _, n := range w.pool.Notes() {
-		if n.Kind == TaskMisfit {
-			said = append(said, n)
+	var said []Event
+	for _, e := range w.pool.TakeEvents() {
+		if e.Kind == TaskMisfit {
+			said = append(said, e)
 		}
 	}
 	is.Equal(len(said), 1) // recorded once
--- a/jaysched/crash.go
+++ b/jaysched/crash.go
@@ -98,7 +98,7 @@
 	t.crashes = append(t.crashes, c)
 	p.markChanged(t.step.job)
 	p.recordNow = true
-	p.note(Note{Kind: CrashAttributed, Worker: c.worker, Run: r.ref(), Detail: fmt.Sprintf("%v, %d in all", c, len(t.crashes)), Waited: now - r.orderedAt}, now)
+	p.recordEvent(Event{Kind: CrashAttributed, Worker: c.worker, Run: r.ref(), Detail: fmt.Sprintf("%v, %d in all", c, len(t.crashes)), Waited: now - r.orderedAt}, now)
 	if !t.parked && t.crashesWorkers(p.oneRack()) {
 		p.giveUpTask(t, now)
 	}
@@ -140,14 +140,14 @@
 	j := t.step.job
 	if t.step.decl.LongRunning && !t.parked {
 		t.park()
-		p.note(Note{Kind: TaskParked, Run: jayport.RunRef{Task: t.id(), Number: t.lastRun}, Detail: fmt.Sprint(t.crashes)}, now)
+		p.recordEvent(Event{Kind: TaskParked, Run: jayport.RunRef{Task: t.id(), Number: t.lastRun}, Detail: fmt.Sprint(t.crashes)}, now)
 	}
 	if t.step.decl.LongRunning && j.hasServingTask() {
 		return
 	}
-	p.note(Note{Kind: JobGivenUp, Job: j.spec.ID, Detail: fmt.Sprintf("%s crashed its workers: %v", t.id(), t.crashes), Waited: now - j.submittedAt}, now)
+	p.recordEvent(Event{Kind: JobGivenUp, Job: j.spec.ID, Detail: fmt.Sprintf("%s crashed its workers: %v", t.id(), t.crashes), Waited: now - j.submittedAt}, now)
 	p.end(j, Failed, now)
-	p.note(Note{Kind: JobEnded, Job: j.spec.ID, Detail: Failed.String(), Waited: now - j.submittedAt}, now)
+	p.recordEvent(Event{Kind: JobEnded, Job: j.spec.ID, Detail: Failed.String(), Waited: now - j.submittedAt}, now)
 }
 
 // hasServingTask reports whether some task of a job is neither done nor parked.
--- a/jaysched/decide.go
+++ b/jaysched/decide.go
@@ -50,7 +50,7 @@
 		if w.contact == silent && now >= w.leaseBound && p.ownership.confirmedSince(w.leaseBound) {
 			w.contact = lapsed
 			w.lapsedSuspects, w.lapsedSuspectsAtStart = w.suspects()
-			p.note(Note{Kind: WorkerLapsed, Worker: w.ID, Since: w.heardAt}, now)
+			p.recordEvent(Event{Kind: WorkerLapsed, Worker: w.ID, Since: w.heardAt}, now)
 			p.loseRuns(w, "its lease has ended", now)
 		}
 		// A worker that is no longer listed and does not answer is not asked forever: each
@@ -135,7 +135,7 @@
 	t.lastRun = number
 	t.addRun(r)
 	w.add(r)
-	p.note(Note{Kind: RunStarted, Worker: w.ID, Run: r.ref(), Since: now - w.heardAt, Waited: now - t.step.readyAt}, now)
+	p.recordEvent(Event{Kind: RunStarted, Worker: w.ID, Run: r.ref(), Since: now - w.heardAt, Waited: now - t.step.readyAt}, now)
 	p.sendStart(r, now)
 }
 
--- a/jaysched/demand.go
+++ b/jaysched/demand.go
@@ -165,7 +165,7 @@
 		}
 		for _, r := range w.inOrder {
 			if r.phase == running && p.shouldStop(r, now) {
-				p.note(Note{Kind: RunStopped, Worker: w.ID, Run: r.ref(), Detail: "vacating"}, now)
+				p.recordEvent(Event{Kind: RunStopped, Worker: w.ID, Run: r.ref(), Detail: "vacating"}, now)
 				p.stop(r, "vacating", now)
 			}
 		}
--- a/jaysched/ends.go
+++ b/jaysched/ends.go
@@ -19,7 +19,7 @@
 	if present {
 		w.fullUntil = 0
 		p.dropRun(r, now)
-		p.note(Note{Kind: RunEnded, Worker: w.ID, Run: end.Run, Detail: end.Ending.String(), Waited: now - r.confirmedAt}, now)
+		p.recordEvent(Event{Kind: RunEnded, Worker: w.ID, Run: end.Run, Detail: end.Ending.String(), Waited: now - r.confirmedAt}, now)
 	}
 	if t == nil {
 		return
@@ -50,7 +50,7 @@
 	if r == nil && len(t.runs) > 0 && !t.step.decl.Speculative {
 		// The worker was silent beyond its lease and the task was started elsewhere; the result
 		// of that run decides.
-		p.note(Note{Kind: EndIgnored, Worker: w.ID, Run: jayport.RunRef{Task: t.id()}, Detail: "superseded"}, now)
+		p.recordEvent(Event{Kind: EndIgnored, Worker: w.ID, Run: jayport.RunRef{Task: t.id()}, Detail: "superseded"}, now)
 		return
 	}
 	if r != nil {
@@ -96,7 +96,7 @@
 		return
 	}
 	p.end(s.job, Done, now)
-	p.note(Note{Kind: JobEnded, Job: s.job.spec.ID, Detail: Done.String(), Waited: now - s.job.submittedAt}, now)
+	p.recordEvent(Event{Kind: JobEnded, Job: s.job.spec.ID, Detail: Done.String(), Waited: now - s.job.submittedAt}, now)
 }
 
 // taskFailed handles a failed run, whether the task or the worker was at fault.
@@ -116,7 +116,7 @@
 	p.markChanged(t.step.job)
 	if failures := t.failures(); failures >= p.policy(t.step.job).Attempts {
 		p.end(t.step.job, Failed, now)
-		p.note(Note{Kind: JobEnded, Job: t.step.job.spec.ID, Detail: fmt.Sprintf("failed: %s failed %d times", t.id(), failures), Waited: now - t.step.job.submittedAt}, now)
+		p.recordEvent(Event{Kind: JobEnded, Job: t.step.job.spec.ID, Detail: fmt.Sprintf("failed: %s failed %d times", t.id(), failures), Waited: now - t.step.job.submittedAt}, now)
 	}
 }
 
--- a/jaysched/events.go
+++ b/jaysched/events.go
@@ -1,395 +1,74 @@
 package jaysched
 
 import (
-	"errors"
-	"fmt"
-	"slices"
 	"time"
 
 	"jaythread/jayport"
 )
 
-// Listed handles the newest list of the pool's workers. A worker that is not listed gets no new
-// run; its present runs end with its lease.
-func (p *Pool) Listed(list []jayport.Worker, now time.Duration) {
-	for _, w := range p.sorted {
-		w.listed = false
-	}
-	p.forgetEnded(list, now)
-	for _, listed := range list {
-		w, known := p.workers[listed.ID]
-		if known && w.Incarnation != listed.Incarnation && listed.Incarnation != 0 {
-			known = p.otherIncarnationListed(w, listed, now)
-		}
-		if !known {
-			if p.endedWorkers[listed.ID].includes(listed.Incarnation, now) {
-				continue
-			}
-			w = p.join(listed, now)
-		}
-		if w.Incarnation == listed.Incarnation || listed.Incarnation == 0 {
-			p.update(w, listed, now)
-		}
-	}
-	p.updateMaxCapacity()
-}
-
-// otherIncarnationListed handles a listed entry of an incarnation other than the known one, and
-// reports whether the known one remains. Entries of one worker are listed in the order of its
-// starts. If the known incarnation was learned only from an answer, it may be older or newer
-// than the listed one; the worker's own answers decide.
-func (p *Pool) otherIncarnationListed(w *worker, listed jayport.Worker, now time.Duration) (goesOn bool) {
-	switch {
-	case w.Incarnation == 0:
-		p.identify(w, listed.Incarnation)
-		return true
-	case w.identified || p.endedWorkers[listed.ID].includes(listed.Incarnation, now):
-		return true
-	default:
-		p.Ended(w.workerRef(), "it was started again", now)
-		return false
-	}
-}
-
-// identify sets the incarnation of a worker that was used without knowing it.
-func (p *Pool) identify(w *worker, incarnation jayport.Incarnation) {
-	p.actions = append(p.actions, ForgetWorker{To: w.workerRef()})
-	w.Incarnation, w.identified = incarnation, true
-}
-
-// join adds a worker.
-func (p *Pool) join(listed jayport.Worker, now time.Duration) *worker {
-	w := newWorker(listed, now)
-	p.insert(w)
-	delete(p.unlisted, w.ID)
-	if former := p.endedWorkers[w.ID].former; len(former) > 0 {
-		p.note(Note{Kind: WorkerReturned, Worker: w.ID, Detail: fmt.Sprintf("incarnation %d after %d", w.Incarnation, former[len(former)-1])}, now)
-	} else {
-		p.note(Note{Kind: WorkerJoined, Worker: w.ID, Detail: incarnationText(w.Incarnation)}, now)
-	}
-	if order, vacating := p.vacating[w.ID]; vacating && now < p.vacatingUntil {
-		w.vacate(order)
-	}
-	return w
-}
-
-// update applies a worker's listed attributes.
-func (p *Pool) update(w *worker, listed jayport.Worker, now time.Duration) {
-	if listed.Draining && !w.Draining {
-		p.note(Note{Kind: WorkerDrains, Worker: w.ID}, now)
-	}
-	if listed.Capacity != w.Capacity {
-		p.resize(w, listed.Capacity, now)
-	}
-	w.listed = true
-	w.Draining = listed.Draining
-	w.DrainLeft = listed.DrainLeft
-	w.Warming = listed.Warming
-	w.Addr = listed.Addr
-}
-
-// Surveyed handles the list of workers that the inventory had in the pool at the time asked. A
-// worker that is not on the list of workers may have runs that a former owner started; a
-// worker that the inventory no longer has, and that has not answered since, has ended.
-func (p *Pool) Surveyed(ids []string, asked, now time.Duration) {
-	p.surveyed = true
-	exists := make(map[string]bool, len(ids))
-	clear(p.unlisted)
-	for _, id := range ids {
-		exists[id] = true
-		if _, known := p.workers[id]; !known {
-			p.unlisted[id] = true
-		}
-	}
-	var ended []*worker
-	for _, w := range p.sorted {
-		if !exists[w.ID] && w.joinedAt < asked && w.heardAt < asked {
-			w.confirmedLost = true
-			ended = append(ended, w)
-		}
-	}
-	for _, w := range ended {
-		p.Ended(w.workerRef(), "not in the inventory", now)
-	}
-}
-
-// NeedsSurvey reports whether the pool waits for information about workers that do not answer.
-func (p *Pool) NeedsSurvey(now time.Duration) bool {
-	if p.formerRunsPossible(now) {
-		return true
-	}
-	return slices.ContainsFunc(p.sorted, func(w *worker) bool { return w.contact == silent && len(w.runs) > 0 })
-}
-
-// Ended handles the end of an incarnation of a worker: none of its runs continues.
-func (p *Pool) Ended(ref jayport.WorkerRef, why string, now time.Duration) {
-	w, known := p.workerOf(ref)
-	if !known {
-		return
-	}
-	suspects, atStart := w.suspects()
-	if w.contact == lapsed {
-		suspects, atStart = w.lapsedSuspects, w.lapsedSuspectsAtStart
-	}
-	if !w.Draining && !w.closed {
-		p.recordLoss(w, now)
-	}
-	p.note(Note{Kind: WorkerLeft, Worker: w.ID, Detail: why}, now)
-	p.loseRuns(w, why, now)
-	p.remove(w)
-	p.endedWorkers[w.ID] = p.endedWorkers[w.ID].with(w.Incarnation, now)
-	p.forgetAdvice(w)
-	p.actions = append(p.actions, ForgetWorker{To: w.workerRef()})
-	p.attribute(w, suspects, atStart, now)
-}
-
-// loseRuns removes all runs of a worker: their tasks wait again.
-func (p *Pool) loseRuns(w *worker, why string, now time.Duration) {
-	for _, r := range slices.Clone(w.inOrder) {
-		p.note(Note{Kind: RunLost, Worker: w.ID, Run: r.ref(), Detail: why, Since: now - w.heardAt, Waited: now - r.orderedAt}, now)
-		p.dropRun(r, now)
-	}
-}
-
-func (p *Pool) dropRun(r *run, now time.Duration) {
-	r.worker.remove(r, now)
-	r.task.removeRun(r)
-	r.task.droppedAt = now
-}
-
-// Silent handles a request about its runs that a worker did not answer.
-func (p *Pool) Silent(ref jayport.WorkerRef, now time.Duration) {
-	w, known := p.workerOf(ref)
-	if !known {
-		return
-	}
-	w.asking = false
-	if w.missingReports == 0 {
-		w.missingSince = now
-	}
-	w.missingReports++
-	if w.contact == connected && w.missingReports < silentAfter {
-		// A single answer may be lost although the worker is healthy.
-		w.askAt = now
-		return
-	}
-	w.askAt = now + silentRetryDelay
-	if w.contact == connected {
-		w.contact = silent
-		p.note(Note{Kind: WorkerSilent, Worker: w.ID, Since: w.heardAt}, now)
-	}
-}
-
-// Reported handles a worker's report, which was requested at the time asked: it includes the
-// orders that were answered before that time.
-func (p *Pool) Reported(ref jayport.WorkerRef, report jayport.Report, asked, now time.Duration) {
-	w, known := p.workerOf(ref)
-	if !known {
-		return
-	}
-	if report.Incarnation != 0 && report.Incarnation != w.Incarnation {
-		if w.Incarnation != 0 {
-			p.Ended(ref, "another incarnation answers", now)
-			return
-		}
-		p.identify(w, report.Incarnation)
-	}
-	p.answered(w, now)
-	w.recordClock(report.Clock, now)
-	p.clearSuspicions(w, now)
-	clear(w.unknownJobs)
-	p.processEnds(w, report.Ended, now)
-	seen := p.processActiveRuns(w, report.Active, now)
-	if len(report.Ended) < jayport.MaxReportedEnds && !report.Partial {
-		p.dropMissing(w, seen, asked, now)
-	}
-	w.askAt = now
-	if w.processed > w.acknowledged || report.Partial || len(w.unknownJobs) > 0 || w.unaccountedRuns > 0 {
-		w.askAt = now + unrecordedDelay
-	}
-}
-
-// answered records that a worker answers.
-func (p *Pool) answered(w *worker, now time.Duration) {
-	if w.contact != connected {
-		p.note(Note{Kind: WorkerAnswers, Worker: w.ID, Since: w.heardAt}, now)
-	}
-	if w.contact == unconfirmed {
-		w.answeredAt = now
-	}
-	w.contact = connected
-	w.asking = false
-	w.missingReports = 0
-}
-
-// processEnds handles the new ends in order, up to one whose job may still become known.
-func (p *Pool) processEnds(w *worker, ends []jayport.EndedRun, now time.Duration) {
-	for _, end := range ends {
-		if end.Number <= w.processed {
-			continue
-		}
-		if p.mayBecomeKnown(w, end.Run, now) {
-			return
-		}
-		p.processEnd(w, end, now)
-		w.processed = end.Number
-	}
-}
-
-// processActiveRuns handles the active runs on a worker and counts those that the pool does not
-// want there. It returns all runs that the worker has listed.
-func (p *Pool) processActiveRuns(w *worker, runs []jayport.ActiveRun, now time.Duration) map[jayport.RunRef]bool {
-	seen := make(map[jayport.RunRef]bool, len(runs))
-	w.unaccountedRuns = 0
-	for _, active := range runs {
-		seen[active.Run] = true
-		if p.mayBecomeKnown(w, active.Run, now) || !p.processActiveRun(w, active, now) {
-			w.unaccountedRuns++
-		}
-	}
-	return seen
-}
-
-// dropMissing removes runs that the worker had confirmed before the report was requested and
-// that it now lists neither as active nor as ended.
-func (p *Pool) dropMissing(w *worker, seen map[jayport.RunRef]bool, asked, now time.Duration) {
-	for _, r := range slices.Clone(w.inOrder) {
-		confirmed := r.confirmedAt > 0 && r.confirmedAt < asked
-		if confirmed && !seen[r.ref()] {
-			p.note(Note{Kind: RunVanished, Worker: w.ID, Run: r.ref(), Waited: now - r.orderedAt}, now)
-			p.dropRun(r, now)
-		}
-	}
-}
-
-// processActiveRun handles a run that a worker lists as active, and reports whether it may
-// continue there.
-func (p *Pool) processActiveRun(w *worker, active jayport.ActiveRun, now time.Duration) (wanted bool) {
-	if r, known := w.runs[active.Run]; known {
-		p.confirm(r, now)
-		r.speed, r.load = active.Speed, active.Load
-		if active.Checkpoint != "" && r.task.step.decl.Checkpoint {
-			r.task.checkpoint = active.Checkpoint
-		}
-		return true
-	}
-	t := p.taskOf(active.Run.Task)
-	adopted := t != nil && !t.done && t.step.job.outcome == Open && (len(t.runs) == 0 || t.step.decl.Speculative)
-	if !adopted {
-		p.actions = append(p.actions, StopRun{To: w.workerRef(), Run: active.Run, Why: "notWanted"})
-		return false
-	}
-	r := &run{task: t, worker: w, number: active.Run.Number, phase: running, need: needOf(t.step), orderedAt: now, confirmedAt: now, speed: active.Speed, isolation: t.isolation()}
-	w.add(r)
-	t.addRun(r)
-	t.lastRun = max(t.lastRun, r.number)
-	t.step.gangRun = max(t.step.gangRun, r.number)
-	t.mayRunUnreported = false
-	t.clearUnconfirmed(r.number)
-	t.step.job.started = true
-	if active.Checkpoint != "" && t.step.decl.Checkpoint {
-		t.checkpoint = active.Checkpoint
-	}
-	p.note(Note{Kind: RunAdopted, Worker: w.ID, Run: active.Run}, now)
-	return true
-}
-
-// confirm records that a worker has a run.
-func (p *Pool) confirm(r *run, now time.Duration) {
-	if r.confirmedAt == 0 {
-		r.confirmedAt = now
-	}
-	if r.phase == ordered || r.phase == unanswered {
-		r.phase = running
-		r.worker.fullFor = 0
-	}
-	if !r.task.step.job.started {
-		r.task.step.job.started = true
-	}
-}
-
-func (p *Pool) taskOf(id jayport.TaskID) *task {
-	j, known := p.jobs[id.Job]
-	if !known {
-		return nil
-	}
-	return j.taskOf(id)
-}
-
-// StartAnswered handles the answer to a start order.
-func (p *Pool) StartAnswered(to jayport.WorkerRef, ref jayport.RunRef, clock time.Duration, err error, now time.Duration) {
-	w, known := p.workerOf(to)
-	if !known {
-		return
-	}
-	r, known := w.runs[ref]
-	if !known {
-		return
-	}
-	if err == nil {
-		w.recordClock(clock, now)
-		p.confirm(r, now)
-		return
-	}
-	var refused *jayport.RefusedError
-	if !errors.As(err, &refused) {
-		if r.phase == ordered {
-			r.phase = unanswered
-			r.expectAnswer()
-		}
-		return
-	}
-	w.recordClock(refused.Clock, now)
-	p.startRefused(r, refused.Reason, now)
-}
-
-// startRefused removes a run that the worker has refused. A repeated start that is outdated may
-// have run and ended; its end is in the worker's list, so the report decides.
-func (p *Pool) startRefused(r *run, reason jayport.Reason, now time.Duration) {
-	p.note(Note{Kind: StartRefused, Worker: r.worker.ID, Run: r.ref(), Detail: reason.String()}, now)
-	if reason == jayport.RefusedOutdated && r.attempt > 1 {
-		r.confirmedAt = now
-		return
-	}
-	r.worker.recordRefusal(reason, now)
-	if r.attempt > 1 {
-		// An earlier start had no answer and may be carried out seconds later, whatever the
-		// answer to the repeated one. Once the worker has confirmed a stop it refuses that run
-		// permanently, and the task can start elsewhere.
-		p.stop(r, "refusedAfterALostAnswer", now)
-		return
-	}
-	r.task.notBefore = now + refusedRetryDelay
-	if reason == jayport.RefusedNoTicket {
-		delete(r.task.step.advice.tickets, r.worker.ID)
-	}
-	p.dropRun(r, now)
-}
-
-// refusedRetryDelay is the delay before a refused task is started again: the worker's actual
-// room is known only with its next report.
-const refusedRetryDelay = 20 * time.Millisecond
+// EventKind is the kind of an event.
+type EventKind string
+
+// The kinds of events. Each is a line in the log.
+const (
+	JobDeclared  EventKind = "job declared"
+	JobEnded     EventKind = "job ended"
+	JobRecorded  EventKind = "job recorded"
+	RunStarted   EventKind = "run started"
+	RunEnded     EventKind = "run ended"
+	RunAdopted   EventKind = "run adopted"
+	RunVanished  EventKind = "run vanished"
+	RunLost      EventKind = "run lost"
+	RunStopped   EventKind = "run stopped"
+	RunThrottled EventKind = "run throttled"
+	StartRefused EventKind = "start refused"
+	EndIgnored   EventKind = "end ignored"
+	// WorkerReturned is a worker that was restarted under its ID.
+	WorkerReturned EventKind = "worker returned"
+	// WorkerResized is a worker whose capacity has changed, TaskMisfit a task that no worker is
+	// large enough for.
+	WorkerResized EventKind = "worker resized"
+	TaskMisfit    EventKind = "task fits no worker"
+	// JobGivenUp is a job with a task that crashes its workers.
+	JobGivenUp EventKind = "job given up"
+	// CrashAttributed is the loss of a worker that is attributed to a task, TaskParked a
+	// service task that is not started any more, TaskCleared a suspicion that is withdrawn.
+	CrashAttributed EventKind = "crash attributed to task"
+	TaskParked      EventKind = "task parked"
+	TaskCleared     EventKind = "task cleared"
+	WorkerJoined    EventKind = "worker joined"
+	WorkerDrains    EventKind = "worker drains"
+	WorkerLeft      EventKind = "worker left"
+	WorkerSilent    EventKind = "worker silent"
+	WorkerAnswers   EventKind = "worker answers"
+	WorkerLapsed    EventKind = "worker lapsed"
+	WorkerAvoided   EventKind = "worker avoided"
+	WorkerTrusted   EventKind = "worker trusted"
+)
 
-// StopAnswered handles the answer to a stop order.
-func (p *Pool) StopAnswered(to jayport.WorkerRef, ref jayport.RunRef, clock time.Duration, err error, now time.Duration) {
-	w, known := p.workerOf(to)
-	if !known {
-		return
-	}
-	r, known := w.runs[ref]
-	if err == nil {
-		w.recordClock(clock, now)
-		if known && r.phase == stopping {
-			r.phase = stopped
-			// The worker's next report shows the outcome of the run: a run that had not started
-			// is in no list.
-			if r.confirmedAt == 0 {
-				r.confirmedAt = now
-			}
-		}
-		return
-	}
-	if known && r.phase == stopping {
-		r.resendAfter(now)
-	}
+// Event reports a decision, or a change of the pool's state, with its cause.
+type Event struct {
+	Kind   EventKind
+	At     time.Duration
+	Job    string
+	Worker string
+	Run    jayport.RunRef
+	Detail string
+	// Since is the age of the information that the decision was based on.
+	Since time.Duration
+	// Waited is how long the task or job had waited, or how long ago a run that has ended had
+	// begun.
+	Waited time.Duration
+}
+
+func (p *Pool) recordEvent(e Event, now time.Duration) {
+	e.At = now
+	p.events = append(p.events, e)
+}
+
+// TakeEvents returns and clears the events since the last call.
+func (p *Pool) TakeEvents() []Event {
+	events := p.events
+	p.events = nil
+	return events
 }
--- a/jaysched/model_test.go
+++ b/jaysched/model_test.go
@@ -366,7 +366,7 @@
 			return
 		}
 	}
-	m.t.Fatalf("the jobs did not end: %v", m.pool.Notes())
+	m.t.Fatalf("the jobs did not end: %v", m.pool.TakeEvents())
 }
 
 func (m *model) finished() bool {
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -135,7 +135,7 @@
 	vacating      map[string]Vacate
 	vacatingUntil time.Duration
 	actions       []Action
-	notes         []Note
+	events        []Event
 	times         *durations
 }
 
@@ -287,7 +287,7 @@
 	}
 	if j.outcome == Open {
 		p.end(j, Canceled, now)
-		p.note(Note{Kind: JobEnded, Job: id, Detail: Canceled.String(), Waited: now - j.submittedAt}, now)
+		p.recordEvent(Event{Kind: JobEnded, Job: id, Detail: Canceled.String(), Waited: now - j.submittedAt}, now)
 	}
 	return true
 }
--- a/jaysched/progress.go
+++ b/jaysched/progress.go
@@ -72,7 +72,7 @@
 		outcome := b.outcomes[id]
 		if j, known := p.jobs[id]; known && outcome != Open && j.recorded == Open {
 			j.recorded = outcome
-			p.note(Note{Kind: JobRecorded, Job: id, Detail: outcome.String(), Waited: now - j.endedAt}, now)
+			p.recordEvent(Event{Kind: JobRecorded, Job: id, Detail: outcome.String(), Waited: now - j.endedAt}, now)
 		}
 	}
 	for t, run := range b.trials {
--- a/jaysched/reports_test.go
+++ b/jaysched/reports_test.go
@@ -55,13 +55,13 @@
 	is := is.New(t)
 	w := newHarness(t, 1)
 	declare(w, newSpec("j", 1))
-	w.pool.Notes()
+	w.pool.TakeEvents()
 	w.pass(300 * time.Millisecond)
 	w.pool.Ended(refOf("w0"), "another incarnation answers", w.now)
-	var lost []Note
-	for _, n := range w.pool.Notes() {
-		if n.Kind == RunLost {
-			lost = append(lost, n)
+	var lost []Event
+	for _, e := range w.pool.TakeEvents() {
+		if e.Kind == RunLost {
+			lost = append(lost, e)
 		}
 	}
 	is.Equal(len(lost), 2)
--- a/jaysched/suspect.go
+++ b/jaysched/suspect.go
@@ -134,12 +134,12 @@
 		case r.trusted():
 			r.task.crashes = nil
 			p.markChanged(r.task.step.job)
-			p.note(Note{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "trusted", Waited: now - r.orderedAt}, now)
+			p.recordEvent(Event{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "trusted", Waited: now - r.orderedAt}, now)
 		case r.settled() && r.task.isolation() == isolatedStart:
 			for n := range r.task.crashes {
 				r.task.crashes[n].disproved = true
 			}
-			p.note(Note{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "its start crashed nothing", Waited: now - r.orderedAt}, now)
+			p.recordEvent(Event{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "its start crashed nothing", Waited: now - r.orderedAt}, now)
 		}
 	}
 }
--- a/jaysched/throttle.go
+++ b/jaysched/throttle.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		w.throttle.at = max(w.throttle.at, now+throttleInterval)
-		p.note(Note{Kind: RunThrottled, Worker: w.ID, Run: r.ref(), Since: now - w.heardAt}, now)
+		p.recordEvent(Event{Kind: RunThrottled, Worker: w.ID, Run: r.ref(), Since: now - w.heardAt}, now)
 		p.actions = append(p.actions, ThrottleRun{To: w.workerRef(), Run: r.ref(), Percent: percent})
 	}
 }
