--- a/jaynode/poolownership.go
+++ b/jaynode/poolownership.go
@@ -26,7 +26,7 @@
 func (d *poolDuty) detectPause(now time.Duration) {
 	if d.lastActiveAt > 0 && now-d.lastActiveAt > pauseThreshold {
 		d.logger.Info("process was paused", "lasted", (now - d.lastActiveAt).String())
-		d.pool.Doubt(now)
+		d.pool.OwnerPaused(now)
 	}
 	d.lastActiveAt = now
 }
--- a/jaynode/queries.go
+++ b/jaynode/queries.go
@@ -166,14 +166,14 @@
 	if duty == nil || !duty.loaded.Load() {
 		return answer
 	}
-	doubted := false
+	unconfirmed := false
 	asked := duty.ask(func() {
-		doubted = duty.pool.InDoubt()
+		unconfirmed = duty.pool.OwnerUnconfirmed()
 		state, known := query(duty.pool, n.clock())
 		answer.Known = known
 		answer.State = jaywire.JobState(state) + jaywire.JobState_JOB_STATE_QUEUED
 	}, askTimeout)
-	if !asked || doubted {
+	if !asked || unconfirmed {
 		return &jaywire.JobAnswer{}
 	}
 	// An unknown job may have been submitted a moment ago.
--- a/jaysched/ownership.go
+++ b/jaysched/ownership.go
@@ -45,15 +45,15 @@
 	p.ownership.at = max(p.ownership.at, at)
 }
 
-// Doubt records that the owner was paused until now: until it is confirmed that it has not been
+// OwnerPaused records that the owner was paused until now: until it is confirmed that it has not been
 // replaced in the meantime, no run is started, and requests about jobs are not answered from
 // its state. Otherwise a job that the next owner had ended would be shown as running again.
-func (p *Pool) Doubt(now time.Duration) {
+func (p *Pool) OwnerPaused(now time.Duration) {
 	p.ownership.pausedAt = now
 }
 
-// InDoubt reports whether the owner may have been replaced during a pause.
-func (p *Pool) InDoubt() bool {
+// OwnerUnconfirmed reports whether the owner may have been replaced during a pause.
+func (p *Pool) OwnerUnconfirmed() bool {
 	return !p.ownership.confirmedSince(p.ownership.pausedAt)
 }
 
@@ -89,7 +89,7 @@
 // needsConfirmation reports whether a worker that was found, or a lease that should have ended,
 // waits for the confirmation that the owner was not replaced.
 func (p *Pool) needsConfirmation(now time.Duration) bool {
-	if p.ownership.lapsed(now) || p.InDoubt() {
+	if p.ownership.lapsed(now) || p.OwnerUnconfirmed() {
 		return true
 	}
 	for _, w := range p.sorted {
--- a/jaysched/ownership_test.go
+++ b/jaysched/ownership_test.go
@@ -102,13 +102,13 @@
 	w := newConfirmedHarness(t, 1)
 	declare(w, newSpec("j", 1))
 	w.now += 3 * time.Second
-	w.pool.Doubt(w.now)
-	is.True(w.pool.InDoubt())
+	w.pool.OwnerPaused(w.now)
+	is.True(w.pool.OwnerUnconfirmed())
 	declare(w, newSpec("k", 1))
 	is.Equal(w.starts("k.0.0.0"), 0)
 	is.Equal(confirms(w), 1)
 	w.pool.OwnerConfirmed(w.now, nil, w.now)
-	is.True(!w.pool.InDoubt())
+	is.True(!w.pool.OwnerUnconfirmed())
 	w.run()
 	is.Equal(w.starts("k.0.0.0"), 1)
 }
--- a/jaysched/place.go
+++ b/jaysched/place.go
@@ -12,7 +12,7 @@
 	p.noRoom = p.noRoom[:0]
 	p.crowded = false
 	p.clearReservations()
-	if p.InDoubt() {
+	if p.OwnerUnconfirmed() {
 		return
 	}
 	for _, j := range p.open {
