--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -298,7 +298,7 @@
 		d.post(func(now time.Duration) {
 			d.flushing = false
 			if err == nil {
-				d.pool.Owned(asked + d.minTakeoverTime())
+				d.pool.SetConfirmedAt(asked + d.minTakeoverTime())
 				d.pool.Flushed(batch, now)
 			}
 		})
--- a/jaynode/poolownership.go
+++ b/jaynode/poolownership.go
@@ -12,7 +12,7 @@
 		return
 	}
 	if c, claimed := view.Claim(d.claim.Duty); claimed && c.Fence == d.claim.Fence {
-		d.pool.Owned(view.AsOf + d.minTakeoverTime())
+		d.pool.SetConfirmedAt(view.AsOf + d.minTakeoverTime())
 	}
 }
 
--- a/jaysched/ownership.go
+++ b/jaysched/ownership.go
@@ -40,8 +40,8 @@
 	return func(p *Pool) { p.ownership = ownership{replaceable: true, at: at, validFor: validFor} }
 }
 
-// Owned records that the owner had not been replaced at a time.
-func (p *Pool) Owned(at time.Duration) {
+// SetConfirmedAt records a time at which the owner had not been replaced.
+func (p *Pool) SetConfirmedAt(at time.Duration) {
 	p.ownership.at = max(p.ownership.at, at)
 }
 
@@ -64,7 +64,7 @@
 		p.ownership.askAt = now + confirmRetryDelay
 		return
 	}
-	p.Owned(asked)
+	p.SetConfirmedAt(asked)
 }
 
 // confirmedSince reports whether the owner is known not to have been replaced up to a time.
