--- a/jaynode/queries.go
+++ b/jaynode/queries.go
@@ -122,12 +122,12 @@
 
 // askOwned answers a query for the state of a job if this entry owns its pool.
 func (n *Node) askOwned(pool, id string) *jaywire.JobAnswer {
-	settled := true
+	stateKnown := true
 	answer := n.answerOwned(pool, func(p *jaysched.Pool, now time.Duration) (jaysched.State, bool) {
-		settled = p.Settled(id, now)
+		stateKnown = p.StateKnown(id, now)
 		return p.StateOf(id, now)
 	})
-	if !settled {
+	if !stateKnown {
 		// The entry that asked retries after queryRetryDelay.
 		return &jaywire.JobAnswer{}
 	}
--- a/jaysched/restore.go
+++ b/jaysched/restore.go
@@ -35,10 +35,10 @@
 // does not.
 const takeoverTime = 2 * time.Second
 
-// Settled reports whether the state of a job can be answered. A former owner may have told
+// StateKnown reports whether the state of a job can be answered. A former owner may have told
 // its caller that the job is done before that was recorded; only the workers have the ends of
 // its tasks then, and until they have reported, the job seems to be running.
-func (p *Pool) Settled(id string, now time.Duration) bool {
+func (p *Pool) StateKnown(id string, now time.Duration) bool {
 	j, known := p.jobs[id]
 	if !known || j.outcome != Open || now >= p.startedAt+takeoverTime || !p.formerRunsPossible(now) {
 		return true
--- a/jaysched/takeover_test.go
+++ b/jaysched/takeover_test.go
@@ -235,11 +235,11 @@
 	next.workers["w1"].silent = true
 	next.run()
 	survey(next)
-	is.True(!next.pool.Settled("j", next.now))
+	is.True(!next.pool.StateKnown("j", next.now))
 	next.workers["w1"].silent = false
 	next.now += silentRetryDelay
 	next.run()
-	is.True(next.pool.Settled("j", next.now))
+	is.True(next.pool.StateKnown("j", next.now))
 	next.record()
 	wantState(t, next, "j", StateDone)
 	t.Run("a lost worker delays the answer for a limited time", func(t *testing.T) {
@@ -247,8 +247,8 @@
 		third := takeOver(t, first, spec)
 		third.workers["w1"].silent = true
 		third.run()
-		is.True(!third.pool.Settled("j", third.now))
-		is.True(third.pool.Settled("j", third.now+takeoverTime))
-		is.True(third.pool.Settled("unknown", third.now))
+		is.True(!third.pool.StateKnown("j", third.now))
+		is.True(third.pool.StateKnown("j", third.now+takeoverTime))
+		is.True(third.pool.StateKnown("unknown", third.now))
 	})
 }
