--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -252,7 +252,7 @@
 		switch {
 		case d.workerEnded(a.To, err, now):
 		case err != nil:
-			d.pool.Silent(a.To, now)
+			d.pool.ReportFailed(a.To, now)
 		default:
 			d.pool.Reported(a.To, report, asked, now)
 		}
--- a/jayreplay/owner.go
+++ b/jayreplay/owner.go
@@ -153,7 +153,7 @@
 	var report jayport.Report
 	answered := o.answerOnce(o.latency.ReportTimeout()+a.Order.Wait, func(err error) {
 		if err != nil {
-			o.pool.Silent(a.To, c.now)
+			o.pool.ReportFailed(a.To, c.now)
 			return
 		}
 		o.pool.Reported(a.To, report, asked, c.now)
--- a/jaysched/bounds_test.go
+++ b/jaysched/bounds_test.go
@@ -125,8 +125,8 @@
 	})
 	t.Run("a silent worker is asked again after 0.2 s", func(t *testing.T) {
 		is.New(t).Equal(pause(func(w *harness) {
-			w.pool.Silent(refOf("w0"), w.now)
-			w.pool.Silent(refOf("w0"), w.now)
+			w.pool.ReportFailed(refOf("w0"), w.now)
+			w.pool.ReportFailed(refOf("w0"), w.now)
 		}), 200*time.Millisecond)
 	})
 	changesAt(t, "the end of a task waits up to 40 ms to be recorded with others", 40*time.Millisecond, func(after time.Duration) bool {
--- a/jaysched/cancel_test.go
+++ b/jaysched/cancel_test.go
@@ -64,7 +64,7 @@
 		w.workers[late.To.ID].silent = true
 		for range 10 {
 			w.now += 600 * time.Millisecond
-			w.pool.Silent(late.To, w.now)
+			w.pool.ReportFailed(late.To, w.now)
 			w.run()
 		}
 		executeLate(w, late.To.ID, late.Order.Run)
--- a/jaysched/harness_test.go
+++ b/jaysched/harness_test.go
@@ -124,7 +124,7 @@
 	case RenewLease:
 		f := w.workers[a.To.ID]
 		if lost || f == nil || f.silent {
-			w.pool.Silent(a.To, w.now)
+			w.pool.ReportFailed(a.To, w.now)
 			return true
 		}
 		f.acknowledge(a.Order.Acknowledged)
--- a/jaysched/incarnation_test.go
+++ b/jaysched/incarnation_test.go
@@ -64,7 +64,7 @@
 	returns("an answer shows it first", func(w *harness) {
 		w.restart("a", 2000)
 		w.pass(busyReportWait)
-		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now)
+		w.pool.ReportFailed(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now)
 		w.run()
 		is.New(w.t).Equal(w.pool.workers["a"], nil) // not used before its entry is listed
 	})
@@ -77,7 +77,7 @@
 		w.restart("a", 2000)
 		w.now += busyReportWait / 2
 		w.list()
-		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now) // of the former incarnation
+		w.pool.ReportFailed(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now) // of the former incarnation
 	})
 	returns("with a clock that was set back", func(w *harness) {
 		w.restart("a", 500)
@@ -155,7 +155,7 @@
 		ended := jayport.Report{Clock: time.Hour, Ended: []jayport.EndedRun{{Number: 9, Run: run, Ending: jayport.EndedDone}}}
 		w.pool.Reported(former, ended, w.now, w.now)
 		w.pool.StopAnswered(former, run, time.Hour, nil, w.now)
-		w.pool.Silent(former, w.now)
+		w.pool.ReportFailed(former, w.now)
 		w.pool.Ended(former, "late", w.now)
 		next := w.pool.workers["a"]
 		is.Equal(next.processed, int64(0))
@@ -268,7 +268,7 @@
 func (w *harness) silenceFor(id string, d time.Duration) {
 	w.workers[id].silent = true
 	for range silentAfter {
-		w.pool.Silent(w.pool.workers[id].workerRef(), w.now)
+		w.pool.ReportFailed(w.pool.workers[id].workerRef(), w.now)
 	}
 	w.pass(d)
 }
--- a/jaysched/loss_test.go
+++ b/jaysched/loss_test.go
@@ -48,10 +48,10 @@
 	t.Run("the time counts until the first missing report", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
-		w.pool.Silent(refOf("w0"), w.now)
+		w.pool.ReportFailed(refOf("w0"), w.now)
 		first := w.now
 		w.now += time.Second
-		w.pool.Silent(refOf("w0"), w.now)
+		w.pool.ReportFailed(refOf("w0"), w.now)
 		is.Equal(w.pool.workers["w0"].lostAt(w.now+time.Second), first)
 	})
 	t.Run("five losses are a proof, four for a job that a former owner may have begun", func(t *testing.T) {
--- a/jaysched/model_test.go
+++ b/jaysched/model_test.go
@@ -269,7 +269,7 @@
 			m.pool.StopAnswered(to, a.Run, report.Clock, err, m.now)
 		case RenewLease:
 			if err != nil {
-				m.pool.Silent(to, m.now)
+				m.pool.ReportFailed(to, m.now)
 			} else {
 				m.pool.Reported(to, report, c.asked, m.now)
 			}
--- a/jaysched/observations.go
+++ b/jaysched/observations.go
@@ -157,8 +157,8 @@
 	r.task.droppedAt = now
 }
 
-// Silent handles a request about its runs that a worker did not answer.
-func (p *Pool) Silent(ref jayport.WorkerRef, now time.Duration) {
+// ReportFailed handles a report request that a worker did not answer.
+func (p *Pool) ReportFailed(ref jayport.WorkerRef, now time.Duration) {
 	w, known := p.workerOf(ref)
 	if !known {
 		return
--- a/jaysched/ownership_test.go
+++ b/jaysched/ownership_test.go
@@ -44,7 +44,7 @@
 	w.list()
 	for range 10 {
 		w.now += 600 * time.Millisecond
-		w.pool.Silent(refOf("w0"), w.now)
+		w.pool.ReportFailed(refOf("w0"), w.now)
 		w.run()
 	}
 	is.Equal(w.starts("j.0.0.0"), 1)
--- a/jaysched/pool_test.go
+++ b/jaysched/pool_test.go
@@ -86,8 +86,8 @@
 	w.workers["w0"].silent = true
 	w.workers["w1"].silent = true
 	w.pass(2 * time.Second) // the owner notices
-	w.pool.Silent(refOf("w0"), w.now)
-	w.pool.Silent(refOf("w1"), w.now)
+	w.pool.ReportFailed(refOf("w0"), w.now)
+	w.pool.ReportFailed(refOf("w1"), w.now)
 	w.addWorker("w2")
 	w.list()
 	w.pass(time.Second)
@@ -106,7 +106,7 @@
 	declare(w, newSpec("j", 1))
 	first := w.workers["w0"]
 	first.silent = true
-	w.pool.Silent(refOf("w0"), w.now)
+	w.pool.ReportFailed(refOf("w0"), w.now)
 	w.addWorker("w1")
 	w.list()
 	w.pass(10 * time.Second)
--- a/jaysched/reports_test.go
+++ b/jaysched/reports_test.go
@@ -30,14 +30,14 @@
 	actions := w.pool.Decide(w.now)
 	is.True(renewals(append(actions, w.sent...))["w0"].Order.Wait <= busyReportWait) // it has runs that end
 	w.now += busyReportWait
-	w.pool.Silent(refOf("w0"), w.now)
+	w.pool.ReportFailed(refOf("w0"), w.now)
 	again := renewals(w.pool.Decide(w.now))["w0"]
 	is.Equal(again.To.ID, "w0")
 	is.Equal(again.Order.Wait, time.Duration(0))
 	is.Equal(again.Order.LeaseUntil, time.Duration(0)) // its lease is not extended by that
 	w.addWorker("w1")
 	is.True(w.pool.workers["w0"].usable())
-	w.pool.Silent(refOf("w0"), w.now)
+	w.pool.ReportFailed(refOf("w0"), w.now)
 	is.True(!w.pool.workers["w0"].usable())
 	w.reports()
 	is.True(w.pool.workers["w0"].usable())
--- a/jaysched/suspect_test.go
+++ b/jaysched/suspect_test.go
@@ -302,7 +302,7 @@
 func (w *harness) silenceUntilLeaseEnds(id string) {
 	w.workers[id].silent = true
 	for range silentAfter {
-		w.pool.Silent(refOf(id), w.now)
+		w.pool.ReportFailed(refOf(id), w.now)
 	}
 	w.pass(10 * time.Second)
 }
