--- a/jaynode/demand.go
+++ b/jaynode/demand.go
@@ -44,7 +44,7 @@
 	asked := duty.ask(func() {
 		now := n.clock()
 		if ask.Surveyed && ask.SurveyedFence == duty.claim.Fence {
-			duty.pool.Surveyed(ask.Existing, micros(ask.SurveyedAtMicros), now)
+			duty.pool.InventoryRead(ask.Existing, micros(ask.SurveyedAtMicros), now)
 		}
 		duty.pool.SetVacating(vacate, now)
 		writeDemand(report, duty.pool.Demand(now))
--- a/jaynode/takeover.go
+++ b/jaynode/takeover.go
@@ -55,7 +55,7 @@
 	}
 	d.jobs.finishLoad(progress)
 	d.updateWorkers(d.node.clock())
-	d.node.duties.Go(d.survey)
+	d.node.duties.Go(d.pollInventory)
 	d.node.metrics.DutyChanged(string(d.claim.Duty), "takenOver")
 	d.logger.Info("taken over", "term", d.claim.Term, "jobs", d.jobs.open, "ended", d.jobs.ended, "took", (d.node.clock() - began).String())
 	return true
@@ -68,30 +68,30 @@
 	}
 }
 
-// surveyInterval is the time between two reads of the inventory while workers do not
+// inventoryPollInterval is the time between two reads of the inventory while workers do not
 // answer. Each read has a cost.
-const surveyInterval = 500 * time.Millisecond
+const inventoryPollInterval = 500 * time.Millisecond
 
-// survey tells the pool which workers exist according to the inventory, while the pool
+// pollInventory tells the pool which workers exist according to the inventory, while the pool
 // waits for answers from some of them.
-func (d *poolDuty) survey() {
+func (d *poolDuty) pollInventory() {
 	for d.ctx.Err() == nil {
 		needed := false
-		if !d.ask(func() { needed = d.pool.NeedsSurvey(d.node.clock()) }, askTimeout) || !needed {
-			jayclock.Sleep(d.ctx, surveyInterval/5)
+		if !d.ask(func() { needed = d.pool.NeedsInventory(d.node.clock()) }, askTimeout) || !needed {
+			jayclock.Sleep(d.ctx, inventoryPollInterval/5)
 			continue
 		}
 		asked := d.node.clock()
 		hosts, err := d.node.ports.Inventory.Hosts(inventoryTimeout)
 		if err != nil {
 			d.logger.Info("worker survey failed; retrying", "error", err.Error())
-			jayclock.Sleep(d.ctx, surveyInterval)
+			jayclock.Sleep(d.ctx, inventoryPollInterval)
 			continue
 		}
 		if !jayport.Complete(hosts) {
 			// A worker that is missing from the list may be in a row that cannot be read.
 			d.logger.Info("worker survey failed; retrying", "error", "the inventory's list has unreadable rows")
-			jayclock.Sleep(d.ctx, surveyInterval)
+			jayclock.Sleep(d.ctx, inventoryPollInterval)
 			continue
 		}
 		var ids []string
@@ -100,8 +100,8 @@
 				ids = append(ids, h.Worker)
 			}
 		}
-		d.post(func(now time.Duration) { d.pool.Surveyed(ids, asked, now) })
-		jayclock.Sleep(d.ctx, surveyInterval)
+		d.post(func(now time.Duration) { d.pool.InventoryRead(ids, asked, now) })
+		jayclock.Sleep(d.ctx, inventoryPollInterval)
 	}
 }
 
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -107,7 +107,7 @@
 	existing, read, known := s.fleet.Existing(o.name)
 	s.clock.after(linkLatency, func() {
 		if known {
-			o.pool.Surveyed(existing, read, s.clock.now)
+			o.pool.InventoryRead(existing, read, s.clock.now)
 		}
 		o.pool.SetVacating(orders, s.clock.now)
 		demand := fleetDemand(o.pool.Demand(s.clock.now), asked)
--- a/jaysched/capacity_test.go
+++ b/jaysched/capacity_test.go
@@ -128,7 +128,7 @@
 		declare(first, spec)
 		first.resizeWorker("w0", 2500, 1000)
 		next := takeOver(t, first, spec)
-		survey(next)
+		readInventory(next)
 		next.run()
 		declare(next, newSpec("k", 1, single))
 		is.Equal(next.starts("k.0.0.0"), 0)
--- a/jaysched/crash_test.go
+++ b/jaysched/crash_test.go
@@ -54,7 +54,7 @@
 func (w *harness) inventoryLoses(id string) {
 	delete(w.workers, id)
 	w.now += time.Millisecond
-	w.pool.Surveyed(sortedKeys(w.workers), w.now, w.now)
+	w.pool.InventoryRead(sortedKeys(w.workers), w.now, w.now)
 	w.list()
 	w.run()
 }
@@ -191,7 +191,7 @@
 				}
 			}
 			w.now += time.Millisecond
-			w.pool.Surveyed(left, w.now, w.now)
+			w.pool.InventoryRead(left, w.now, w.now)
 			for _, id := range sortedKeys(w.workers) {
 				if w.workers[id].info.Rack == rack {
 					w.crashWorker(id)
@@ -235,7 +235,7 @@
 		next.now, next.workers, next.sent = w.now, w.workers, w.sent
 		next.pool.Restore(spec, progress, next.now)
 		next.list()
-		survey(next)
+		readInventory(next)
 		next.run()
 		return next
 	}
@@ -261,7 +261,7 @@
 		next.now, next.workers, next.sent = w.now, w.workers, w.sent
 		next.pool.Restore(spec, first, next.now)
 		next.list()
-		survey(next)
+		readInventory(next)
 		next.crashLoop(0, "j.0.0.0")
 		next.record()
 		wantState(t, next, "j", StateFailed)
--- a/jaysched/incarnation_test.go
+++ b/jaysched/incarnation_test.go
@@ -70,7 +70,7 @@
 	})
 	returns("the inventory shows it first", func(w *harness) {
 		w.now += time.Millisecond
-		w.pool.Surveyed(nil, w.now, w.now)
+		w.pool.InventoryRead(nil, w.now, w.now)
 		w.restart("a", 2000)
 	})
 	returns("within the delay of one report", func(w *harness) {
@@ -234,7 +234,7 @@
 		next.list() // the entries of the former incarnations
 		next.restart("a", 2000)
 		next.run()
-		survey(next)
+		readInventory(next)
 		next.listAndReport()
 		is.Equal(len(next.running()), 2)
 		is.Equal(next.starts("j.0.0.0")+next.starts("j.0.0.1"), 1) // the other one continues
--- a/jaysched/model_test.go
+++ b/jaysched/model_test.go
@@ -298,15 +298,15 @@
 	m.pool.Listed(list, m.now)
 }
 
-// survey gives the owner the workers in the inventory.
-func (m *model) survey() {
+// readInventory gives the owner the workers in the inventory.
+func (m *model) readInventory() {
 	var ids []string
 	for _, id := range sortedKeys(m.workers) {
 		if m.workers[id].up {
 			ids = append(ids, id)
 		}
 	}
-	m.pool.Surveyed(ids, m.now, m.now)
+	m.pool.InventoryRead(ids, m.now, m.now)
 }
 
 // record begins to record the changed progress, or completes the recording.
@@ -349,7 +349,7 @@
 			}
 		}
 		m.list()
-		m.survey()
+		m.readInventory()
 		m.decide()
 		calls := m.calls
 		m.calls = nil
@@ -423,7 +423,7 @@
 				m.start(id)
 			},
 			"list":   func(*rapid.T) { m.list() },
-			"survey": func(*rapid.T) { m.survey() },
+			"survey": func(*rapid.T) { m.readInventory() },
 			"record": func(*rapid.T) { m.record() },
 			"takeOver": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "lose") > 0 {
--- a/jaysched/observations.go
+++ b/jaysched/observations.go
@@ -88,11 +88,11 @@
 	w.Addr = listed.Addr
 }
 
-// Surveyed handles the list of workers that the inventory had in the pool at the time asked. A
+// InventoryRead handles the list of workers that the inventory had in the pool at the time asked. A
 // worker that is not on the list of workers may have runs that a former owner started; a
 // worker that the inventory no longer has, and that has not answered since, has ended.
-func (p *Pool) Surveyed(ids []string, asked, now time.Duration) {
-	p.surveyed = true
+func (p *Pool) InventoryRead(ids []string, asked, now time.Duration) {
+	p.inventoryRead = true
 	exists := make(map[string]bool, len(ids))
 	clear(p.unlisted)
 	for _, id := range ids {
@@ -113,8 +113,8 @@
 	}
 }
 
-// NeedsSurvey reports whether the pool waits for information about workers that do not answer.
-func (p *Pool) NeedsSurvey(now time.Duration) bool {
+// NeedsInventory reports whether the pool waits for information about workers that do not answer.
+func (p *Pool) NeedsInventory(now time.Duration) bool {
 	if p.formerRunsPossible(now) {
 		return true
 	}
--- a/jaysched/place.go
+++ b/jaysched/place.go
@@ -38,7 +38,7 @@
 	if now >= p.heldUntil {
 		return false
 	}
-	if !p.surveyed || len(p.unlisted) > 0 {
+	if !p.inventoryRead || len(p.unlisted) > 0 {
 		return true
 	}
 	for _, w := range p.sorted {
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -117,9 +117,9 @@
 	startedAt   time.Duration
 	ownership   ownership
 	unknownJobs unknownJobs
-	// surveyed says that every existing worker is known, also those that the list of workers
+	// inventoryRead says that every existing worker is known, also those that the list of workers
 	// does not contain.
-	surveyed bool
+	inventoryRead bool
 	// unlisted are the workers that exist but are not on the list.
 	unlisted map[string]bool
 	// endedWorkers are the workers with ended incarnations, by their IDs.
--- a/jaysched/suspect_test.go
+++ b/jaysched/suspect_test.go
@@ -103,7 +103,7 @@
 			}
 		}
 		w.now += time.Millisecond
-		w.pool.Surveyed(left, w.now, w.now)
+		w.pool.InventoryRead(left, w.now, w.now)
 		for n := range 6 {
 			is.True(w.pool.jobs["j"].occurrences[0].steps[0].tasks[n].isolation() <= watched)
 		}
@@ -326,7 +326,7 @@
 		}
 		w = relist(w)
 		clear(w.workers)
-		w.pool.Surveyed(nil, w.now, w.now)
+		w.pool.InventoryRead(nil, w.now, w.now)
 		w.now += rackLossWindow / 4
 		w.addWorker("next")
 		w.workers["next"].info.Rack = "r"
--- a/jaysched/takeover_test.go
+++ b/jaysched/takeover_test.go
@@ -24,12 +24,12 @@
 	return next
 }
 
-func survey(w *harness) {
+func readInventory(w *harness) {
 	var ids []string
 	for id := range w.workers {
 		ids = append(ids, id)
 	}
-	w.pool.Surveyed(ids, w.now, w.now)
+	w.pool.InventoryRead(ids, w.now, w.now)
 }
 
 func TestTakeover(t *testing.T) {
@@ -39,7 +39,7 @@
 		spec := newSpec("j", 1)
 		declare(first, spec)
 		next := takeOver(t, first, spec)
-		survey(next)
+		readInventory(next)
 		next.run()
 		is.Equal(next.starts("j.0.0.0"), 0)
 		is.Equal(len(next.running()), 2)
@@ -61,7 +61,7 @@
 		}
 		next.addWorker("w9")
 		next.list()
-		survey(next)
+		readInventory(next)
 		next.run()
 		next.pass(3 * time.Second)
 		is.Equal(next.starts("j.0.0.0"), 0)
@@ -82,8 +82,8 @@
 		declare(first, spec)
 		next := takeOver(t, first, spec)
 		next.run()
-		is.Equal(next.starts("j.0.0.0"), 0) // not surveyed yet
-		next.pool.Surveyed([]string{"w0", "w1", "hidden"}, next.now, next.now)
+		is.Equal(next.starts("j.0.0.0"), 0) // the inventory has not been read yet
+		next.pool.InventoryRead([]string{"w0", "w1", "hidden"}, next.now, next.now)
 		next.pass(time.Second)
 		is.Equal(next.starts("j.0.0.0"), 0)
 	})
@@ -100,14 +100,14 @@
 		hidden := next.workers["w0"]
 		hidden.silent = true
 		next.run()
-		survey(next)
+		readInventory(next)
 		delete(next.workers, "w0")
 		next.addWorker("w9")
 		next.list()
 		next.pass(time.Second)
 		is.Equal(next.starts("j.0.0.0"), 0)
 		// The inventory shows that the worker has ended.
-		next.pool.Surveyed([]string{"w9"}, next.now, next.now)
+		next.pool.InventoryRead([]string{"w9"}, next.now, next.now)
 		next.pass(time.Second)
 		is.Equal(next.starts("j.0.0.0"), 1)
 	})
@@ -132,7 +132,7 @@
 		next.workers["w0"].info.Draining = false
 		next.workers["w1"].silent = true
 		next.list()
-		survey(next)
+		readInventory(next)
 		next.pass(time.Second)
 		is.Equal(next.starts("j.0.0.0"), 0)
 		next.workers["w1"].silent = false
@@ -146,7 +146,7 @@
 		spec := newSpec("j", 1)
 		declare(first, spec)
 		next := takeOver(t, first, spec)
-		survey(next)
+		readInventory(next)
 		next.run()
 		next.finish("j", 0, jayport.EndedStopped)
 		for ref := range next.workers["w0"].active {
@@ -234,7 +234,7 @@
 	next := takeOver(t, first, spec)
 	next.workers["w1"].silent = true
 	next.run()
-	survey(next)
+	readInventory(next)
 	is.True(!next.pool.StateKnown("j", next.now))
 	next.workers["w1"].silent = false
 	next.now += silentRetryDelay
--- a/jaysched/unknownjobs_test.go
+++ b/jaysched/unknownjobs_test.go
@@ -20,7 +20,7 @@
 	w.pool.JobsKnown(w.now - time.Second)
 	w.list()
 	w.run()
-	survey(w)
+	readInventory(w)
 	return w, "j"
 }
 
@@ -77,7 +77,7 @@
 	next.now, next.workers = w.now, w.workers
 	next.list()
 	next.run()
-	survey(next)
+	readInventory(next)
 	is.True(next.pool.DeclareFound(newSpec(job, 1), next.now))
 	next.run()
 	is.Equal(next.starts("j.0.0.0"), 0)
