--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -217,7 +217,7 @@
 	} else {
 		d.logger.Info("advice given", "job", a.Step.Job, "step", a.Step.Step, "workers", len(a.Workers), "good", len(got.Tickets), "valid", got.Valid.String())
 	}
-	d.post(func(now time.Duration) { d.pool.Advised(a, got, err, asked, now) })
+	d.post(func(now time.Duration) { d.pool.AdviceAnswered(a, got, err, asked, now) })
 }
 
 func (d *poolDuty) startRun(a jaysched.StartRun) {
--- a/jaysched/advice_test.go
+++ b/jaysched/advice_test.go
@@ -37,7 +37,7 @@
 	for _, id := range good {
 		a.Tickets[id] = "ticket-" + id
 	}
-	w.pool.Advised(ask, a, nil, w.now, w.now)
+	w.pool.AdviceAnswered(ask, a, nil, w.now, w.now)
 	w.run()
 }
 
@@ -93,7 +93,7 @@
 		is := is.New(t)
 		w := newAdvisedHarness(t)
 		ask, _ := w.lastAsked()
-		w.pool.Advised(ask, jayport.Advice{}, errors.New("lost"), w.now, w.now)
+		w.pool.AdviceAnswered(ask, jayport.Advice{}, errors.New("lost"), w.now, w.now)
 		w.pass(time.Second)
 		_, count := w.lastAsked()
 		is.Equal(count, 2)
--- a/jaysched/bounds_test.go
+++ b/jaysched/bounds_test.go
@@ -374,7 +374,7 @@
 	changesAt(t, "a failed request is repeated after 0.1 s", 100*time.Millisecond, func(after time.Duration) bool {
 		w := newAdvisedHarness(t)
 		ask, _ := w.lastAsked()
-		w.pool.Advised(ask, jayport.Advice{}, errLost, w.now, w.now)
+		w.pool.AdviceAnswered(ask, jayport.Advice{}, errLost, w.now, w.now)
 		return count[AskAdvice](w.decideUnanswered(after)) == 0
 	})
 	changesAt(t, "a ticket is not used in its last 0.15 s", 150*time.Millisecond, func(left time.Duration) bool {
--- a/jaysched/incarnation_test.go
+++ b/jaysched/incarnation_test.go
@@ -200,7 +200,7 @@
 		w.restart("a", 2000)
 		w.now += time.Millisecond
 		w.list()
-		w.pool.Advised(AskAdvice{Step: s.id, Workers: []string{"a"}}, jayport.Advice{Tickets: map[string]string{"a": "late"}, Valid: time.Hour}, nil, asked, w.now)
+		w.pool.AdviceAnswered(AskAdvice{Step: s.id, Workers: []string{"a"}}, jayport.Advice{Tickets: map[string]string{"a": "late"}, Valid: time.Hour}, nil, asked, w.now)
 		is.Equal(len(s.advice.tickets), 0)
 		is.True(!w.pool.workers["a"].health.avoided(w.now))
 	})
