--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -213,9 +213,9 @@
 	return known && j.recorded != Open
 }
 
-// TimeFor returns the time from a job's submission to its target, as far as its sizes are
+// AllowedTime returns the time from a job's submission to its target, as far as its sizes are
 // known, and zero for an unknown job.
-func (p *Pool) TimeFor(id string) time.Duration {
+func (p *Pool) AllowedTime(id string) time.Duration {
 	j, known := p.jobs[id]
 	if !known {
 		return 0
