--- a/jaynode/node.go
+++ b/jaynode/node.go
@@ -135,7 +135,7 @@
 	n.logger.Info("started", "incarnation", n.incarnation)
 	n.duties.Go(func() { n.peerServer.Serve(listener, nil) })
 	n.follow(ctx, n.ports.Formats.Declarations(), jaytail.Options{Wait: declarationsWait}, n.declarations)
-	n.follow(ctx, n.ports.Formats.Reports(), jaytail.Options{Pause: reportsReadDelay, Needed: n.ownsSomething, Hurry: n.crowded}, n.reports)
+	n.follow(ctx, n.ports.Formats.Reports(), jaytail.Options{Pause: reportsReadDelay, Needed: n.ownsSomething, Hurry: n.lacksRoom}, n.reports)
 	n.members.Start(ctx)
 	n.intake.start(ctx)
 	return nil
@@ -203,13 +203,13 @@
 	return n.pools[pool]
 }
 
-// crowded reports whether tasks of a pool that this entry owns wait for free capacity.
+// lacksRoom reports whether tasks of a pool that this entry owns wait for free capacity.
 // New workers are then needed at once.
-func (n *Node) crowded() bool {
+func (n *Node) lacksRoom() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, duty := range n.pools {
-		if duty.crowded.Load() {
+		if duty.lacksRoom.Load() {
 			return true
 		}
 	}
--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -46,8 +46,8 @@
 	loaded atomic.Bool
 	// known is the set of IDs of the jobs that are in the store.
 	known sync.Map
-	// crowded is set while tasks wait for free capacity.
-	crowded atomic.Bool
+	// lacksRoom is set while tasks wait for free capacity.
+	lacksRoom atomic.Bool
 	// latency measures how long the pool's workers take to answer.
 	latency *jaysched.Latency
 
@@ -137,7 +137,7 @@
 	for _, action := range d.pool.Decide(now) {
 		d.perform(action)
 	}
-	d.crowded.Store(d.pool.Crowded())
+	d.lacksRoom.Store(d.pool.LacksRoom())
 	d.flush()
 	d.expire(now)
 	d.logEvents()
--- a/jayreplay/owner.go
+++ b/jayreplay/owner.go
@@ -73,7 +73,7 @@
 	o.pool.Listed(list, o.sim.clock.now)
 	o.scheduleDecision()
 	pause := listInterval
-	if o.pool.Crowded() {
+	if o.pool.LacksRoom() {
 		pause = crowdedListInterval
 	}
 	o.sim.clock.after(pause, o.listWorkers)
--- a/jaysched/deadline.go
+++ b/jaysched/deadline.go
@@ -56,7 +56,7 @@
 // time. Otherwise the order by target is better: the durations of jobs are not known well, and
 // one that seems late may still be on time.
 func (p *Pool) overloaded(now time.Duration) bool {
-	if !p.crowded {
+	if !p.lackedRoom {
 		p.lastRoomAt = now
 	}
 	overdue := time.Duration(overloadedAfter * float64(p.settings.MoveTime+reportDelay))
--- a/jaysched/forecast_test.go
+++ b/jaysched/forecast_test.go
@@ -53,13 +53,13 @@
 	w := newHarness(t, 1)
 	w.reports()
 	declare(w, newSpec("j", 1, func(s *jayspec.Step) { s.Tasks = 5 })) // there is room for four
-	is.True(w.pool.Crowded())
+	is.True(w.pool.LacksRoom())
 	w.addWorker("w9")
 	w.list()
 	w.run()
 	w.reports()
 	w.run()
-	is.True(!w.pool.Crowded())
+	is.True(!w.pool.LacksRoom())
 }
 
 func TestJobsWaitingToBeStoredCountAsDemand(t *testing.T) {
--- a/jaysched/latency_test.go
+++ b/jaysched/latency_test.go
@@ -81,7 +81,7 @@
 	w.pool.Decide(w.now)
 	is.Equal(w.pool.Pending("q"), 1)
 	is.Equal(w.pool.jobs["j"].waiting, 3)
-	is.True(!w.pool.Crowded()) // there is room
+	is.True(!w.pool.LacksRoom()) // there is room
 	w.pool.SetStarts(10)
 	w.pool.Decide(w.now)
 	is.Equal(w.pool.jobs["j"].waiting, 0)
--- a/jaysched/place.go
+++ b/jaysched/place.go
@@ -10,7 +10,7 @@
 func (p *Pool) place(now time.Duration) {
 	held := p.formerRunsPossible(now)
 	p.noRoom = p.noRoom[:0]
-	p.crowded = false
+	p.lackedRoom = false
 	p.clearReservations()
 	if p.OwnerUnconfirmed() {
 		return
@@ -60,8 +60,8 @@
 		p.placeGang(s, held, now)
 		return
 	}
-	if p.lacksRoom(s) {
-		p.crowded = true
+	if p.smallerNeedUnmet(s) {
+		p.lackedRoom = true
 		return
 	}
 	for _, t := range s.tasks {
@@ -97,7 +97,7 @@
 // noWorkerFound handles a task for which no worker has room, and reserves a worker where that
 // helps. It returns false if the other tasks of its step find no worker either.
 func (p *Pool) noWorkerFound(t *task, now time.Duration) (goOn bool) {
-	p.crowded = true
+	p.lackedRoom = true
 	if t.isolation() > watched {
 		p.reserveIsolated(t, now)
 		return true
@@ -114,10 +114,10 @@
 	}
 }
 
-// lacksRoom reports whether a step with no smaller need has just found no worker: while jobs
+// smallerNeedUnmet reports whether a step with no smaller need has just found no worker: while jobs
 // are placed, room only decreases. In a load spike with hundreds of waiting jobs this avoids
 // checking every worker for each of them.
-func (p *Pool) lacksRoom(s *step) bool {
+func (p *Pool) smallerNeedUnmet(s *step) bool {
 	need := needOf(s)
 	for _, missing := range p.noRoom {
 		if need.Fits(missing) {
@@ -153,7 +153,7 @@
 		}
 	}
 	if len(chosen) < len(s.tasks) {
-		p.crowded = true
+		p.lackedRoom = true
 		return
 	}
 	for _, t := range s.tasks {
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -86,8 +86,8 @@
 	open []*job
 	// noRoom are the needs that no worker could meet in the present decision.
 	noRoom []jaypool.Resources
-	// crowded says that some task found no worker in the latest decision.
-	crowded bool
+	// lackedRoom says that some task found no worker in the latest decision.
+	lackedRoom bool
 	// reservedForSuspects counts the workers that are reserved for suspects in the present
 	// decision.
 	reservedForSuspects int
@@ -228,9 +228,9 @@
 	p.startsLeft = most
 }
 
-// Crowded reports whether tasks wait for room.
-func (p *Pool) Crowded() bool {
-	return p.crowded
+// LacksRoom reports whether tasks wait for room.
+func (p *Pool) LacksRoom() bool {
+	return p.lackedRoom
 }
 
 // Pending counts the open jobs of a queue of which no task has started.
