--- a/jaynode/demand.go
+++ b/jaynode/demand.go
@@ -69,7 +69,7 @@
 	report.WorkersAtLeast = uint32(d.WorkersAtLeast)
 	for _, l := range d.Loads {
 		emptyIn := l.EmptyIn.Milliseconds()
-		if l.EmptyIn == jaysched.Never {
+		if l.EmptyIn == jaysched.MaxDuration {
 			emptyIn = neverEmpty
 		}
 		report.Workers = append(report.Workers, &jaywire.WorkerLoad{
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -127,7 +127,7 @@
 	}
 	for _, l := range d.Loads {
 		load := jayfleet.Load{CapacityMilli: &l.CapacityMilli, UsedMilli: l.UsedMilli, Runs: l.Runs, LongRuns: l.LongRuns, Vacated: l.Vacated, Idle: l.Idle, EmptyIn: l.EmptyIn}
-		if l.EmptyIn == jaysched.Never {
+		if l.EmptyIn == jaysched.MaxDuration {
 			load.EmptyIn = -1
 		}
 		demand.Loads[l.Worker] = load
--- a/jaysched/decide.go
+++ b/jaysched/decide.go
@@ -73,7 +73,7 @@
 		if w.contact != connected || now < w.resendAt {
 			continue
 		}
-		w.resendAt = Never
+		w.resendAt = MaxDuration
 		for _, r := range w.inOrder {
 			p.resendRun(r, now)
 			r.expectAnswer()
--- a/jaysched/demand.go
+++ b/jaysched/demand.go
@@ -22,12 +22,13 @@
 	// Idle is how long the worker has had no runs.
 	Idle time.Duration
 	// EmptyIn is the expected time until the worker is empty if its runs are migrated, or
-	// Never.
+	// MaxDuration.
 	EmptyIn time.Duration
 }
 
-// Never is the time until a worker with a long-running task is empty.
-const Never = time.Duration(math.MaxInt64)
+// MaxDuration stands for a time that never comes, such as until a worker with a long-running
+// task is empty.
+const MaxDuration = time.Duration(math.MaxInt64)
 
 // Demand is what a pool needs from the fleet.
 type Demand struct {
@@ -120,7 +121,7 @@
 	for _, r := range w.runs {
 		if r.task.step.decl.LongRunning {
 			l.LongRuns++
-			l.EmptyIn = Never
+			l.EmptyIn = MaxDuration
 			continue
 		}
 		l.EmptyIn = max(l.EmptyIn, p.timeToEmpty(r, now))
