--- a/jaysched/capacity.go
+++ b/jaysched/capacity.go
@@ -57,7 +57,7 @@
 	}
 	if !s.tooLarge {
 		s.tooLarge = true
-		p.recordEvent(Event{Kind: TaskMisfit, Job: s.job.spec.ID, Detail: fmt.Sprintf("step %d needs %v, the largest worker has %v", s.id.Step, sizeText(need), sizeText(p.maxCapacity))}, now)
+		p.recordEvent(Event{Kind: TaskTooLarge, Job: s.job.spec.ID, Detail: fmt.Sprintf("step %d needs %v, the largest worker has %v", s.id.Step, sizeText(need), sizeText(p.maxCapacity))}, now)
 	}
 }
 
--- a/jaysched/capacity_test.go
+++ b/jaysched/capacity_test.go
@@ -182,7 +182,7 @@
 	w.reportFor(time.Second)
 	var said []Event
 	for _, e := range w.pool.TakeEvents() {
-		if e.Kind == TaskMisfit {
+		if e.Kind == TaskTooLarge {
 			said = append(said, e)
 		}
 	}
--- a/jaysched/events.go
+++ b/jaysched/events.go
@@ -25,10 +25,10 @@
 	EndIgnored   EventKind = "end ignored"
 	// WorkerReturned is a worker that was restarted under its ID.
 	WorkerReturned EventKind = "worker returned"
-	// WorkerResized is a worker whose capacity has changed, TaskMisfit a task that no worker is
+	// WorkerResized is a worker whose capacity has changed, TaskTooLarge a task that no worker is
 	// large enough for.
 	WorkerResized EventKind = "worker resized"
-	TaskMisfit    EventKind = "task fits no worker"
+	TaskTooLarge  EventKind = "task fits no worker"
 	// JobGivenUp is a job with a task that crashes its workers.
 	JobGivenUp EventKind = "job given up"
 	// CrashAttributed is the loss of a worker that is attributed to a task, TaskParked a
