--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -283,13 +283,13 @@
 	if d.flushing || !d.pool.Recordable(d.node.clock()) {
 		return
 	}
-	batch := d.pool.Flush()
+	batch := d.pool.TakeBatch()
 	if batch == nil {
 		return
 	}
 	records := d.progressRecords(batch)
 	if len(records) == 0 {
-		d.pool.Flushed(batch, d.node.clock())
+		d.pool.BatchRecorded(batch, d.node.clock())
 		return
 	}
 	d.flushing = true
@@ -299,7 +299,7 @@
 			d.flushing = false
 			if err == nil {
 				d.pool.SetConfirmedAt(asked + d.minTakeoverTime())
-				d.pool.Flushed(batch, now)
+				d.pool.BatchRecorded(batch, now)
 			}
 		})
 	})
--- a/jaynode/stored_test.go
+++ b/jaynode/stored_test.go
@@ -57,7 +57,7 @@
 			pool.Restore(job, record, time.Second)
 			pool.Decide(time.Second)
 			pool.Demand(time.Second)
-			pool.Flush()
+			pool.TakeBatch()
 		}
 		pool.RestoreEnded("other", jaysched.OutcomeOf(record), time.Second)
 		pool.StateOf("other", time.Second)
--- a/jayreplay/owner.go
+++ b/jayreplay/owner.go
@@ -191,14 +191,14 @@
 	if o.flushing || !o.pool.Recordable(now) {
 		return
 	}
-	batch := o.pool.Flush()
+	batch := o.pool.TakeBatch()
 	if batch == nil {
 		return
 	}
 	o.flushing = true
 	o.sim.clock.after(storeLatency, func() {
 		o.flushing = false
-		o.pool.Flushed(batch, o.sim.clock.now)
+		o.pool.BatchRecorded(batch, o.sim.clock.now)
 		o.scheduleDecision()
 	})
 }
--- a/jaysched/bounds_test.go
+++ b/jaysched/bounds_test.go
@@ -131,7 +131,7 @@
 	})
 	changesAt(t, "the end of a task waits up to 40 ms to be recorded with others", 40*time.Millisecond, func(after time.Duration) bool {
 		w := newHarness(t, 1)
-		w.pool.flushedAt = w.now
+		w.pool.batchRecordedAt = w.now
 		return w.pool.Recordable(w.now + after)
 	})
 	changesAt(t, "a job that is done is shown unrecorded after 0.15 s", 150*time.Millisecond, func(after time.Duration) bool {
--- a/jaysched/harness_test.go
+++ b/jaysched/harness_test.go
@@ -224,9 +224,9 @@
 
 // record records the progress of the pool.
 func (w *harness) record() *Batch {
-	b := w.pool.Flush()
+	b := w.pool.TakeBatch()
 	if b != nil {
-		w.pool.Flushed(b, w.now)
+		w.pool.BatchRecorded(b, w.now)
 	}
 	return b
 }
--- a/jaysched/incarnation_test.go
+++ b/jaysched/incarnation_test.go
@@ -171,11 +171,11 @@
 		w := newIncarnationHarness(t, 1, 1000)
 		declare(w, newSpec("j", 1))
 		w.finish("j", 0, jayport.EndedDone)
-		batch := w.pool.Flush()
+		batch := w.pool.TakeBatch()
 		w.restart("a", 2000)
 		w.list()
 		w.run()
-		w.pool.Flushed(batch, w.now)
+		w.pool.BatchRecorded(batch, w.now)
 		is.Equal(w.pool.workers["a"].acknowledged, int64(0))
 	})
 	t.Run("a report of another incarnation ends it", func(t *testing.T) {
--- a/jaysched/model_test.go
+++ b/jaysched/model_test.go
@@ -312,11 +312,11 @@
 // record begins to record the changed progress, or completes the recording.
 func (m *model) record() {
 	if m.pending == nil {
-		m.pending = m.pool.Flush()
+		m.pending = m.pool.TakeBatch()
 		return
 	}
 	maps.Copy(m.stored, m.pending.Progress)
-	m.pool.Flushed(m.pending, m.now)
+	m.pool.BatchRecorded(m.pending, m.now)
 	m.pending = nil
 }
 
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -101,8 +101,8 @@
 	deadlineReviewAt time.Duration
 	// lastRoomAt is the latest time at which no task lacked room.
 	lastRoomAt time.Duration
-	// flushedAt is the latest time at which a batch was recorded.
-	flushedAt time.Duration
+	// batchRecordedAt is the latest time at which a batch was recorded.
+	batchRecordedAt time.Duration
 	// changed are the jobs whose progress is to be recorded.
 	changed []*job
 	workers map[string]*worker
--- a/jaysched/pool_test.go
+++ b/jaysched/pool_test.go
@@ -152,7 +152,7 @@
 		spec.Steps[0].Tasks = 1
 		declare(w, spec)
 		w.finish("j", 0, jayport.EndedFailed)
-		progress := w.pool.Flush().Progress["j"]
+		progress := w.pool.TakeBatch().Progress["j"]
 		next := newHarness(t, 0, WithFence(9, 2))
 		next.workers = w.workers
 		next.pool.Restore(spec, progress, next.now)
--- a/jaysched/progress.go
+++ b/jaysched/progress.go
@@ -37,11 +37,11 @@
 	if p.recordNow || slices.ContainsFunc(p.changed, func(j *job) bool { return j.outcome != Open }) {
 		return true
 	}
-	return now >= p.flushedAt+recordDelay
+	return now >= p.batchRecordedAt+recordDelay
 }
 
-// Flush returns the progress to be recorded, or nil if there is none.
-func (p *Pool) Flush() *Batch {
+// TakeBatch returns and clears the progress to be recorded, or nil if there is none.
+func (p *Pool) TakeBatch() *Batch {
 	b := &Batch{Progress: map[string]*jaywire.JobProgress{}, outcomes: map[string]Outcome{}, ends: map[*worker]int64{}, trials: map[*task]int64{}}
 	for _, j := range p.changed {
 		j.dirty = false
@@ -65,9 +65,9 @@
 	return b
 }
 
-// Flushed handles a batch that is recorded in the store: its ends are acknowledged with the
+// BatchRecorded handles a batch that is recorded in the store: its ends are acknowledged with the
 // next request to their workers.
-func (p *Pool) Flushed(b *Batch, now time.Duration) {
+func (p *Pool) BatchRecorded(b *Batch, now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(b.outcomes)) {
 		outcome := b.outcomes[id]
 		if j, known := p.jobs[id]; known && outcome != Open && j.recorded == Open {
@@ -78,7 +78,7 @@
 	for t, run := range b.trials {
 		t.trialStored = max(t.trialStored, run)
 	}
-	p.flushedAt = now
+	p.batchRecordedAt = now
 	for _, w := range p.sorted {
 		if processed, ok := b.ends[w]; ok && processed > w.acknowledged {
 			w.acknowledged = processed
--- a/jaysched/rush_bench_test.go
+++ b/jaysched/rush_bench_test.go
@@ -74,8 +74,8 @@
 		heap.Push(&r.ends, spikeEnd{at: r.now + 800*time.Millisecond + time.Duration(run.Task.Index)*7*time.Millisecond, worker: start.To.ID, run: run})
 		r.pool.StartAnswered(start.To, run, r.now, nil, r.now)
 	}
-	if batch := r.pool.Flush(); batch != nil {
-		r.pool.Flushed(batch, r.now)
+	if batch := r.pool.TakeBatch(); batch != nil {
+		r.pool.BatchRecorded(batch, r.now)
 	}
 }
 
