--- a/jaymember/claims.go
+++ b/jaymember/claims.go
@@ -154,7 +154,7 @@
 	var vacant []jayowner.Duty
 	for _, d := range o.members.Duties() {
 		c, claimed := view.Claim(d)
-		if claimed && !c.Released && !o.members.Liveness.hasEndedWithin(c.Incarnation, o.timeoutFactorOf(d, now), now) {
+		if claimed && !c.Released && !o.members.Liveness.presumedEndedWithin(c.Incarnation, o.timeoutFactorOf(d, now), now) {
 			delete(o.vacantSince, d)
 			continue
 		}
@@ -181,7 +181,7 @@
 func (o *Owners) candidates(now time.Duration) []jayowner.Candidate {
 	candidates := []jayowner.Candidate{{Incarnation: o.members.Incarnation, Strength: o.members.ProcessorsMilli, Started: o.members.Started.UnixMilli()}}
 	for _, e := range o.members.Entries.All() {
-		if e.Incarnation != o.members.Incarnation && !o.members.Liveness.HasEnded(e.Incarnation, now) {
+		if e.Incarnation != o.members.Incarnation && !o.members.Liveness.PresumedEnded(e.Incarnation, now) {
 			candidates = append(candidates, jayowner.Candidate{Incarnation: e.Incarnation, Strength: e.ProcessorsMilli, Started: e.StartedUnixMillis})
 		}
 	}
--- a/jaymember/entries_test.go
+++ b/jaymember/entries_test.go
@@ -25,12 +25,12 @@
 		is.NoErr(err)
 		m.Entries.Apply(jayport.Record{Key: "e2", Value: value})
 	}
-	is.True(!m.Liveness.Ended("e2-00000001", acted)) // no announcement yet
+	is.True(!m.Liveness.CertainlyEnded("e2-00000001", acted)) // no announcement yet
 	announce("e2-00000001", acted.Add(-time.Minute))
-	is.True(!m.Liveness.Ended("e2-00000001", acted))
+	is.True(!m.Liveness.CertainlyEnded("e2-00000001", acted))
 	announce("e2-00000002", acted.Add(time.Second))
-	is.True(m.Liveness.Ended("e2-00000001", acted))
-	is.True(!m.Liveness.Ended("e2-00000002", acted))
+	is.True(m.Liveness.CertainlyEnded("e2-00000001", acted))
+	is.True(!m.Liveness.CertainlyEnded("e2-00000002", acted))
 	announce("e2-00000000", acted.Add(-time.Hour)) // late announcement of an earlier process
-	is.True(!m.Liveness.Ended("e2-00000002", acted))
+	is.True(!m.Liveness.CertainlyEnded("e2-00000002", acted))
 }
--- a/jaymember/liveness.go
+++ b/jaymember/liveness.go
@@ -101,16 +101,16 @@
 	l.members.Go(func() { l.pollHeartbeats(ctx) })
 }
 
-// HasEnded reports whether an incarnation is presumed to have ended. It may be wrong;
-// Ended is certain.
-func (l *Liveness) HasEnded(incarnation string, now time.Duration) bool {
-	return l.hasEndedWithin(incarnation, 1, now)
+// PresumedEnded reports whether an incarnation is presumed to have ended. It may be wrong,
+// unlike CertainlyEnded.
+func (l *Liveness) PresumedEnded(incarnation string, now time.Duration) bool {
+	return l.presumedEndedWithin(incarnation, 1, now)
 }
 
-// hasEndedWithin is HasEnded with the timeouts for silent and isolated owners multiplied
-// by a factor. The timeout for a closed port stays, since a closed port is not a sign of
-// slowness.
-func (l *Liveness) hasEndedWithin(incarnation string, factor int, now time.Duration) bool {
+// presumedEndedWithin is PresumedEnded with the timeouts for silent and isolated owners
+// multiplied by a factor. The timeout for a closed port stays, since a closed port is not
+// a sign of slowness.
+func (l *Liveness) presumedEndedWithin(incarnation string, factor int, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.replaced[incarnation] {
@@ -130,10 +130,10 @@
 	return now-s.since > time.Duration(factor)*isolatedTimeout && l.reachesOthers(incarnation, now)
 }
 
-// Ended reports whether the process of an incarnation that acted at a time of day has
-// certainly ended: another incarnation answers at its address, or another process of the
-// same entry was started after that time.
-func (l *Liveness) Ended(incarnation string, acted time.Time) bool {
+// CertainlyEnded reports whether the process of an incarnation that acted at a time of day
+// has certainly ended: another incarnation answers at its address, or another process of
+// the same entry was started after that time.
+func (l *Liveness) CertainlyEnded(incarnation string, acted time.Time) bool {
 	l.mu.Lock()
 	replaced := l.replaced[incarnation]
 	l.mu.Unlock()
--- a/jaymember/liveness_test.go
+++ b/jaymember/liveness_test.go
@@ -55,7 +55,7 @@
 	l.Pinged(pingedIncarnation, err)
 	for w.clock()-began < within {
 		l.checkHeartbeats()
-		if l.HasEnded(pingedIncarnation, w.clock()) {
+		if l.PresumedEnded(pingedIncarnation, w.clock()) {
 			return w.clock() - began
 		}
 		each()
@@ -156,7 +156,7 @@
 		l.Pinged(pingedIncarnation, jayport.ErrNoAnswer)
 		missed := func() bool {
 			l.checkHeartbeats()
-			return l.hasEndedWithin(pingedIncarnation, owners.timeoutFactorOf(jayowner.Fleet, w.clock()), w.clock())
+			return l.presumedEndedWithin(pingedIncarnation, owners.timeoutFactorOf(jayowner.Fleet, w.clock()), w.clock())
 		}
 		for !missed() {
 			time.Sleep(10 * time.Millisecond)
--- a/jaynode/fleetduty_test.go
+++ b/jaynode/fleetduty_test.go
@@ -18,7 +18,7 @@
 	clocks map[string]jaymember.PeerClock
 }
 
-func (a fakeActors) Ended(incarnation string, _ time.Time) bool { return a.gone[incarnation] }
+func (a fakeActors) CertainlyEnded(incarnation string, _ time.Time) bool { return a.gone[incarnation] }
 
 func (a fakeActors) ClockOf(incarnation string) (jaymember.PeerClock, bool) {
 	c, known := a.clocks[incarnation]
--- a/jaynode/fleetrecords.go
+++ b/jaynode/fleetrecords.go
@@ -55,9 +55,9 @@
 
 // actors looks up the processes that have sent commands to hosts.
 type actors interface {
-	// Ended reports whether the process of an incarnation that acted at a time of day has
-	// certainly ended.
-	Ended(incarnation string, acted time.Time) bool
+	// CertainlyEnded reports whether the process of an incarnation that acted at a time of
+	// day has certainly ended.
+	CertainlyEnded(incarnation string, acted time.Time) bool
 	// ClockOf returns the clock of an incarnation, if it is known.
 	ClockOf(incarnation string) (jaymember.PeerClock, bool)
 }
@@ -68,7 +68,7 @@
 	held := map[string]time.Duration{}
 	for host, command := range c.commands {
 		at := time.UnixMilli(command.UnixMillis)
-		recorded := jayfleet.RecordedCommand{At: at, ActorEnded: actors.Ended(command.Incarnation, at)}
+		recorded := jayfleet.RecordedCommand{At: at, ActorEnded: actors.CertainlyEnded(command.Incarnation, at)}
 		if clock, known := actors.ClockOf(command.Incarnation); known {
 			recorded.DecidedBy, recorded.ClockKnown = clock.By(micros(command.DecidedMicros)), true
 		}
--- a/jaynode/relaypeers.go
+++ b/jaynode/relaypeers.go
@@ -26,7 +26,7 @@
 func (r *relayPeers) Incarnations() []string {
 	var ids []string
 	for _, e := range r.node.members.Entries.All() {
-		if e.Incarnation != r.node.incarnation && !r.node.members.Liveness.HasEnded(e.Incarnation, r.node.clock()) {
+		if e.Incarnation != r.node.incarnation && !r.node.members.Liveness.PresumedEnded(e.Incarnation, r.node.clock()) {
 			ids = append(ids, e.Incarnation)
 		}
 	}
