--- a/jaymember/heartbeat.go
+++ b/jaymember/heartbeat.go
@@ -129,7 +129,7 @@
 	if s.storeFailed || !readable || !known {
 		return now
 	}
-	sign := max(clock.By(written), l.lastAnswered[incarnation], l.members.Store.RegainedAt())
+	sign := max(clock.ToLocal(written), l.lastAnswered[incarnation], l.members.Store.RegainedAt())
 	return min(sign, now)
 }
 
--- a/jaymember/peerclock.go
+++ b/jaymember/peerclock.go
@@ -12,17 +12,17 @@
 	HeardAt time.Duration
 }
 
-// NotAfter converts a time on this clock to the other clock; the result is never too
+// ToPeer converts a time on this clock to the other clock; the result is never too
 // late. The inventory's read time is sent as such a time and not as an age: if an entry
 // is paused between reading its clock and sending, an age would be too small by the
 // pause, and workers that joined during the pause would be taken for ended while they
 // run.
-func (c PeerClock) NotAfter(at time.Duration) time.Duration {
+func (c PeerClock) ToPeer(at time.Duration) time.Duration {
 	return c.Clock + at - c.HeardAt
 }
 
-// By converts a time on the other clock to this clock; the result is never too early.
+// ToLocal converts a time on the other clock to this clock; the result is never too early.
 // Times of day would be accurate only to the seconds by which the clocks may differ.
-func (c PeerClock) By(at time.Duration) time.Duration {
+func (c PeerClock) ToLocal(at time.Duration) time.Duration {
 	return c.HeardAt + at - c.Clock
 }
--- a/jaymember/peerclock_test.go
+++ b/jaymember/peerclock_test.go
@@ -17,12 +17,12 @@
 	// The other entry writes its answer at 10 s; this entry receives it 0.3 s later.
 	c := PeerClock{Clock: 10*time.Second + ahead, HeardAt: 10300 * time.Millisecond}
 	for _, read := range []time.Duration{9 * time.Second, 10100 * time.Millisecond, 12 * time.Second} {
-		told := c.NotAfter(read)
+		told := c.ToPeer(read)
 		is.True(told <= read+ahead)                      // never too late
 		is.True(told >= read+ahead-300*time.Millisecond) // and at most the transit time too early
 	}
 	for _, acted := range []time.Duration{9 * time.Second, 10100 * time.Millisecond, 12 * time.Second} {
-		by := c.By(acted + ahead)
+		by := c.ToLocal(acted + ahead)
 		is.True(by >= acted)                      // never too early
 		is.True(by <= acted+300*time.Millisecond) // and at most the transit time too late
 	}
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -202,7 +202,7 @@
 	existing, asked, read := d.fleet.Existing(pool)
 	if clock, known := d.clocks[pool]; known && read {
 		ask.Surveyed, ask.Existing = true, existing
-		ask.SurveyedFence, ask.SurveyedAtMicros = clock.Fence, clock.NotAfter(asked).Microseconds()
+		ask.SurveyedFence, ask.SurveyedAtMicros = clock.Fence, clock.ToPeer(asked).Microseconds()
 	}
 	go func() {
 		report, err := d.node.askDemand(ask)
--- a/jaynode/fleetrecords.go
+++ b/jaynode/fleetrecords.go
@@ -70,7 +70,7 @@
 		at := time.UnixMilli(command.UnixMillis)
 		recorded := jayfleet.RecordedCommand{At: at, ActorEnded: actors.CertainlyEnded(command.Incarnation, at)}
 		if clock, known := actors.ClockOf(command.Incarnation); known {
-			recorded.DecidedBy, recorded.ClockKnown = clock.By(micros(command.DecidedMicros)), true
+			recorded.DecidedBy, recorded.ClockKnown = clock.ToLocal(micros(command.DecidedMicros)), true
 		}
 		if until := guard.HeldUntil(recorded, t); until > t.Clock {
 			held[host] = until
