--- a/jaymember/liveness.go
+++ b/jaymember/liveness.go
@@ -242,7 +242,7 @@
 	if err == nil {
 		l.recordClock(c.Incarnation, time.Duration(response.GetPong().GetClockMicros())*time.Microsecond)
 	}
-	l.Pinged(c.Incarnation, err)
+	l.RecordOutcome(c.Incarnation, err)
 }
 
 // recordClock records the time on another entry's clock, as received just now.
@@ -265,8 +265,8 @@
 	return c, known
 }
 
-// Pinged records the outcome of a ping, or of any other request to an entry.
-func (l *Liveness) Pinged(incarnation string, err error) {
+// RecordOutcome records the outcome of a ping, or of any other request to an entry.
+func (l *Liveness) RecordOutcome(incarnation string, err error) {
 	now := l.members.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/jaymember/liveness_test.go
+++ b/jaymember/liveness_test.go
@@ -45,14 +45,14 @@
 // pong answers a ping of the observer.
 func (w *pingedOwner) pong() {
 	w.observer.Liveness.recordClock(pingedIncarnation, w.clock()+w.ahead)
-	w.observer.Liveness.Pinged(pingedIncarnation, nil)
+	w.observer.Liveness.RecordOutcome(pingedIncarnation, nil)
 }
 
 // suspectedAfter fails all pings from now on and returns the time after which the owner
 // is presumed to have ended, or the limit within if it is not.
 func (w *pingedOwner) suspectedAfter(err error, within time.Duration, each func()) time.Duration {
 	l, began := w.observer.Liveness, w.clock()
-	l.Pinged(pingedIncarnation, err)
+	l.RecordOutcome(pingedIncarnation, err)
 	for w.clock()-began < within {
 		l.checkHeartbeats()
 		if l.PresumedEnded(pingedIncarnation, w.clock()) {
@@ -153,7 +153,7 @@
 		w.heartbeat()
 		w.pong()
 		l, lost := w.observer.Liveness, w.clock()
-		l.Pinged(pingedIncarnation, jayport.ErrNoAnswer)
+		l.RecordOutcome(pingedIncarnation, jayport.ErrNoAnswer)
 		missed := func() bool {
 			l.checkHeartbeats()
 			return l.presumedEndedWithin(pingedIncarnation, owners.timeoutFactorOf(jayowner.Fleet, w.clock()), w.clock())
@@ -162,7 +162,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		is.Equal(w.clock()-lost, 2*silentTimeout+10*time.Millisecond)
-		l.Pinged(pingedIncarnation, jaypeer.ErrGone)
+		l.RecordOutcome(pingedIncarnation, jaypeer.ErrGone)
 		is.True(missed()) // the timeout for a closed port stays
 	})
 }
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -155,7 +155,7 @@
 	answered := make(chan outcome, 1)
 	go func() {
 		response, err := i.link.Ask(c.Incarnation, c.PeerAddr, request)
-		i.node.members.Liveness.Pinged(c.Incarnation, err)
+		i.node.members.Liveness.RecordOutcome(c.Incarnation, err)
 		answered <- outcome{response, err}
 	}()
 	look := time.NewTicker(suspectPollInterval)
--- a/jaynode/intake_test.go
+++ b/jaynode/intake_test.go
@@ -41,7 +41,7 @@
 	claims := jayowner.NewTable()
 	is.NoErr(claims.Apply(jayowner.Claim{Duty: jayowner.PoolDuty("seats"), Incarnation: "e2-x", PeerAddr: addr, Term: 1}.Record()))
 	n.members.Owners.Publish(&jaymember.View{Table: claims})
-	n.members.Liveness.Pinged("e2-x", jaypeer.ErrGone)
+	n.members.Liveness.RecordOutcome("e2-x", jaypeer.ErrGone)
 	began := time.Now()
 	final, outcome := n.intake.storeAtOwner("seats", "j", nil, 3*time.Second, time.Second)
 	is.True(errors.Is(outcome, jayport.ErrNotDone))
@@ -66,7 +66,7 @@
 	began := time.Now()
 	go func() {
 		time.Sleep(100 * time.Millisecond)
-		n.members.Liveness.Pinged("e2-x", jaypeer.ErrGone)
+		n.members.Liveness.RecordOutcome("e2-x", jaypeer.ErrGone)
 	}()
 	final, outcome := n.intake.storeAtOwner("seats", "j", nil, 3*time.Second, time.Second)
 	is.True(errors.Is(outcome, jayport.ErrNoAnswer))
@@ -145,7 +145,7 @@
 		e.node.intake.start(ctx)
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			e.node.members.Liveness.Pinged("e2-x", jaypeer.ErrGone)
+			e.node.members.Liveness.RecordOutcome("e2-x", jaypeer.ErrGone)
 		}()
 		is.Equal(verdictOf(t, e.node.Submit(jobOf(testID, time.Millisecond), 2*time.Second)), jayverdict.MayHaveRun)
 	})
