--- a/jaymember/owners.go
+++ b/jaymember/owners.go
@@ -100,9 +100,9 @@
 	return o.table.Load() != nil
 }
 
-// Of returns the newest claim of a duty, if there is one. The owner still serves a duty
+// OwnerOf returns the newest claim of a duty, if there is one. The owner still serves a duty
 // that it has released until the next claim.
-func (o *Owners) Of(d jayowner.Duty) (jayowner.Claim, bool) {
+func (o *Owners) OwnerOf(d jayowner.Duty) (jayowner.Claim, bool) {
 	view := o.table.Load()
 	if view == nil {
 		return jayowner.Claim{}, false
--- a/jaynode/demand.go
+++ b/jaynode/demand.go
@@ -11,7 +11,7 @@
 // askDemand asks the owner of a pool which resources the pool needs. The owner of the
 // fleet calls it.
 func (n *Node) askDemand(ask *jaywire.AskDemand) (*jaywire.DemandReport, error) {
-	c, ok := n.members.Owners.Of(jayowner.PoolDuty(ask.Pool))
+	c, ok := n.members.Owners.OwnerOf(jayowner.PoolDuty(ask.Pool))
 	if !ok {
 		return nil, errNoOwner
 	}
@@ -33,7 +33,7 @@
 func (n *Node) demandOwned(ask *jaywire.AskDemand) *jaywire.DemandReport {
 	report := &jaywire.DemandReport{}
 	duty := n.ownedPool(ask.Pool)
-	fleet, owned := n.members.Owners.Of(jayowner.Fleet)
+	fleet, owned := n.members.Owners.OwnerOf(jayowner.Fleet)
 	if duty == nil || !duty.loaded.Load() || !owned || fleet.Fence > ask.Fence {
 		return report
 	}
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -109,7 +109,7 @@
 // entries then appended as well, the partition, which processes appends one by one, would
 // reject the appends of all of them.
 func (i *intake) storeAtOwner(pool, id string, value []byte, deadline, outageWait time.Duration) (final bool, err error) {
-	c, owned := i.node.members.Owners.Of(jayowner.PoolDuty(pool))
+	c, owned := i.node.members.Owners.OwnerOf(jayowner.PoolDuty(pool))
 	if !owned {
 		return false, jayport.ErrNotDone
 	}
--- a/jaynode/queries.go
+++ b/jaynode/queries.go
@@ -92,7 +92,7 @@
 func (n *Node) untilOwned(pool string, deadline time.Duration, request *jaywire.PeerRequest, owned func(*jaywire.PeerResponse) bool) error {
 	until := n.clock() + deadline
 	for {
-		if c, ok := n.members.Owners.Of(jayowner.PoolDuty(pool)); ok {
+		if c, ok := n.members.Owners.OwnerOf(jayowner.PoolDuty(pool)); ok {
 			response, err := n.askIncarnation(c, request)
 			if err == nil && owned(response) {
 				return nil
