--- a/jaymember/heartbeat.go
+++ b/jaymember/heartbeat.go
@@ -24,7 +24,7 @@
 // writeHeartbeats writes heartbeats while this entry owns a duty.
 func (l *Liveness) writeHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		if l.members.Owns() {
+		if l.members.OwnsAnyDuty() {
 			_, err := l.members.Store.Append(jayport.Append{
 				Partition: l.members.heartbeatsOf(l.members.Incarnation),
 				Records:   []jayport.Record{{Key: l.members.Incarnation, Value: heartbeatAt(l.members.Clock())}},
--- a/jaymember/members.go
+++ b/jaymember/members.go
@@ -58,12 +58,12 @@
 	Partition func(key string) int
 	// Duties returns the duties that should have an owner now.
 	Duties func() []jayowner.Duty
-	// Owns reports whether this entry owns any duty.
-	Owns func() bool
+	// OwnsAnyDuty reports whether this entry owns any duty.
+	OwnsAnyDuty func() bool
 	// Stopping reports whether this entry is stopping and claims no more duties.
 	Stopping func() bool
-	// ClaimsRead is called after each read of the claims.
-	ClaimsRead func()
+	// OnClaimsRead is called after each read of the claims.
+	OnClaimsRead func()
 	// Go runs a function in a goroutine that the entry waits for when it stops.
 	Go func(func())
 }
--- a/jaymember/owners.go
+++ b/jaymember/owners.go
@@ -79,10 +79,10 @@
 	return o.turnover.TimeoutFactor(d, now)
 }
 
-// CaughtUp publishes the claims and then calls ClaimsRead.
+// CaughtUp publishes the claims and then calls OnClaimsRead.
 func (o *Owners) CaughtUp(asOf time.Duration) {
 	o.Publish(&View{Table: o.working.Clone(), next: o.tail.Next(), AsOf: asOf})
-	o.members.ClaimsRead()
+	o.members.OnClaimsRead()
 }
 
 // Publish replaces the current view.
--- a/jaynode/members.go
+++ b/jaynode/members.go
@@ -22,9 +22,9 @@
 		Logger:          n.logger,
 		Partition:       n.partitionOf,
 		Duties:          n.dueDuties,
-		Owns:            n.ownsSomething,
+		OwnsAnyDuty:     n.ownsAnyDuty,
 		Stopping:        n.stopping.Load,
-		ClaimsRead:      n.reconcileDuties,
+		OnClaimsRead:    n.reconcileDuties,
 		Go:              n.duties.Go,
 	})
 }
