--- a/jaymember/owners.go
+++ b/jaymember/owners.go
@@ -65,7 +65,7 @@
 	}
 	if c, ok := o.working.Claim(jayowner.Duty(r.Key)); ok {
 		o.mu.Lock()
-		o.turnover.Claimed(c, o.members.Clock())
+		o.turnover.AddClaim(c, o.members.Clock())
 		o.mu.Unlock()
 		o.logger.Info("duty claimed", "duty", r.Key, "owner", c.Incarnation, "fence", c.Fence, "term", c.Term, "released", c.Released)
 	}
--- a/jayowner/turnover.go
+++ b/jayowner/turnover.go
@@ -32,9 +32,9 @@
 	return &Turnover{claims: map[Duty][]pastClaim{}}
 }
 
-// Claimed adds a claim that was read at a given time. Claims that were added before and
+// AddClaim adds a claim that was read at a given time. Claims that were added before and
 // releases are ignored.
-func (t *Turnover) Claimed(c Claim, now time.Duration) {
+func (t *Turnover) AddClaim(c Claim, now time.Duration) {
 	past := slices.DeleteFunc(t.claims[c.Duty], func(p pastClaim) bool { return p.at < now-turnoverWindow })
 	known := slices.ContainsFunc(past, func(p pastClaim) bool { return p.fence >= c.Fence })
 	if !known && !c.Released {
--- a/jayowner/turnover_test.go
+++ b/jayowner/turnover_test.go
@@ -12,7 +12,7 @@
 	claimed := func(owners ...string) *Turnover {
 		turnover := NewTurnover()
 		for n, owner := range owners {
-			turnover.Claimed(Claim{Duty: Fleet, Fence: int64(n + 1), Incarnation: owner}, time.Duration(n)*time.Second)
+			turnover.AddClaim(Claim{Duty: Fleet, Fence: int64(n + 1), Incarnation: owner}, time.Duration(n)*time.Second)
 		}
 		return turnover
 	}
@@ -31,13 +31,13 @@
 	factor("a claim does not count after 15 s", 1, 15100*time.Millisecond, "a", "b", "a")
 	t.Run("a claim that is read twice counts once", func(t *testing.T) {
 		turnover := claimed("a", "b")
-		turnover.Claimed(Claim{Duty: Fleet, Fence: 1, Incarnation: "a"}, 2*time.Second)
-		turnover.Claimed(Claim{Duty: Fleet, Fence: 2, Incarnation: "b"}, 2*time.Second)
+		turnover.AddClaim(Claim{Duty: Fleet, Fence: 1, Incarnation: "a"}, 2*time.Second)
+		turnover.AddClaim(Claim{Duty: Fleet, Fence: 2, Incarnation: "b"}, 2*time.Second)
 		is.New(t).Equal(turnover.TimeoutFactor(Fleet, 2*time.Second), 1)
 	})
 	t.Run("a release does not count as a claim", func(t *testing.T) {
 		turnover := claimed("a", "b")
-		turnover.Claimed(Claim{Duty: Fleet, Fence: 3, Incarnation: "a", Released: true}, 2*time.Second)
+		turnover.AddClaim(Claim{Duty: Fleet, Fence: 3, Incarnation: "a", Released: true}, 2*time.Second)
 		is.New(t).Equal(turnover.TimeoutFactor(Fleet, 2*time.Second), 1)
 	})
 	t.Run("claims of other duties do not count", func(t *testing.T) {
@@ -59,7 +59,7 @@
 				turnover, now, claims := NewTurnover(), time.Duration(0), 0
 				for {
 					claims++
-					turnover.Claimed(Claim{Duty: Fleet, Fence: int64(claims), Incarnation: fmt.Sprint(claims % entries)}, now)
+					turnover.AddClaim(Claim{Duty: Fleet, Fence: int64(claims), Incarnation: fmt.Sprint(claims % entries)}, now)
 					allowed := time.Duration(turnover.TimeoutFactor(Fleet, now)) * wait
 					if allowed >= reads {
 						break
