--- a/jaymember/claims.go
+++ b/jaymember/claims.go
@@ -122,7 +122,7 @@
 func (o *Owners) ownShare(view *View, vacant []jayowner.Duty, now time.Duration) []jayport.Record {
 	var candidates []jayowner.Candidate
 	for name, e := range o.members.Entries.names() {
-		candidates = append(candidates, jayowner.Candidate{Incarnation: name, Strength: e.ProcessorsMilli})
+		candidates = append(candidates, jayowner.Candidate{Incarnation: name, Capacity: e.ProcessorsMilli})
 	}
 	share := jayowner.Share(o.members.Duties(), candidates, o.members.Entry)
 	var records []jayport.Record
@@ -179,10 +179,10 @@
 
 // candidates returns the entries that are not presumed to have ended.
 func (o *Owners) candidates(now time.Duration) []jayowner.Candidate {
-	candidates := []jayowner.Candidate{{Incarnation: o.members.Incarnation, Strength: o.members.ProcessorsMilli, Started: o.members.Started.UnixMilli()}}
+	candidates := []jayowner.Candidate{{Incarnation: o.members.Incarnation, Capacity: o.members.ProcessorsMilli, Started: o.members.Started.UnixMilli()}}
 	for _, e := range o.members.Entries.All() {
 		if e.Incarnation != o.members.Incarnation && !o.members.Liveness.PresumedEnded(e.Incarnation, now) {
-			candidates = append(candidates, jayowner.Candidate{Incarnation: e.Incarnation, Strength: e.ProcessorsMilli, Started: e.StartedUnixMillis})
+			candidates = append(candidates, jayowner.Candidate{Incarnation: e.Incarnation, Capacity: e.ProcessorsMilli, Started: e.StartedUnixMillis})
 		}
 	}
 	return candidates
--- a/jayowner/assign.go
+++ b/jayowner/assign.go
@@ -11,9 +11,9 @@
 // Candidate is an entry that can own duties.
 type Candidate struct {
 	Incarnation string
-	// Strength is the capacity of the entry, such as its share of the machine's
-	// processors. Stronger entries get duties first.
-	Strength int64
+	// Capacity measures what the entry can do, such as its share of the machine's
+	// processors. Entries with more capacity get duties first.
+	Capacity int64
 	// Started is when the entry was started, in milliseconds of its own time of day.
 	Started int64
 }
@@ -21,7 +21,7 @@
 // Rankings returns for each vacant duty the candidates in the order in which they should
 // claim it. All entries compute the same rankings from the same claims. Duties are
 // spread: a duty goes to the candidate with the fewest duties in relation to its
-// strength, and among equals to the one that was started last: while all entries are
+// capacity, and among equals to the one that was started last: while all entries are
 // restarted in turn, that one has already been restarted and keeps the duty.
 func Rankings(vacant []Duty, held map[string]int, candidates []Candidate) map[Duty][]string {
 	load := make(map[string]int, len(candidates))
@@ -35,8 +35,8 @@
 		ranked := slices.Clone(candidates)
 		slices.SortFunc(ranked, func(a, b Candidate) int {
 			return cmp.Or(
-				// Compares (load+1)/strength without division.
-				cmp.Compare(int64(load[a.Incarnation]+1)*max(1, b.Strength), int64(load[b.Incarnation]+1)*max(1, a.Strength)),
+				// Compares (load+1)/capacity without division.
+				cmp.Compare(int64(load[a.Incarnation]+1)*max(1, b.Capacity), int64(load[b.Incarnation]+1)*max(1, a.Capacity)),
 				cmp.Compare(b.Started/startTimeResolution, a.Started/startTimeResolution),
 				cmp.Compare(score(d, a.Incarnation), score(d, b.Incarnation)),
 				strings.Compare(a.Incarnation, b.Incarnation),
--- a/jayowner/owner_test.go
+++ b/jayowner/owner_test.go
@@ -62,7 +62,7 @@
 	// announced, since the first one would have taken all duties. Shares are computed
 	// from the known names of entries instead of the running ones.
 	is := is.New(t)
-	names := []Candidate{{Incarnation: "a", Strength: 800}, {Incarnation: "b", Strength: 800}, {Incarnation: "c", Strength: 800}, {Incarnation: "weak", Strength: 192}}
+	names := []Candidate{{Incarnation: "a", Capacity: 800}, {Incarnation: "b", Capacity: 800}, {Incarnation: "c", Capacity: 800}, {Incarnation: "weak", Capacity: 192}}
 	duties := []Duty{Fleet, PoolDuty("seats"), PoolDuty("fees"), PoolDuty("registry"), PoolDuty("catalogue")}
 	taken := map[Duty]string{}
 	for _, name := range names {
@@ -77,7 +77,7 @@
 }
 
 func TestRankings(t *testing.T) {
-	candidates := []Candidate{{Incarnation: "a", Strength: 400}, {Incarnation: "b", Strength: 400}, {Incarnation: "c", Strength: 800}, {Incarnation: "d", Strength: 400}}
+	candidates := []Candidate{{Incarnation: "a", Capacity: 400}, {Incarnation: "b", Capacity: 400}, {Incarnation: "c", Capacity: 800}, {Incarnation: "d", Capacity: 400}}
 	t.Run("duties are spread by strength", func(t *testing.T) {
 		is := is.New(t)
 		var duties []Duty
