--- a/jayfleet/fleet.go
+++ b/jayfleet/fleet.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// Listed applies an inventory listing that was requested at the given time.
-func (f *Fleet) Listed(list []jayport.Host, asked time.Duration) {
+// ApplyInventory applies an inventory listing that was requested at the given time.
+func (f *Fleet) ApplyInventory(list []jayport.Host, asked time.Duration) {
 	f.listedAt, f.complete = asked, jayport.Complete(list)
 	present := make(map[string]bool, len(list))
 	for _, listed := range list {
--- a/jayfleet/thresholds_test.go
+++ b/jayfleet/thresholds_test.go
@@ -43,7 +43,7 @@
 		}
 		hosts = append(hosts, h)
 	}
-	f.Listed(hosts, time.Minute)
+	f.ApplyInventory(hosts, time.Minute)
 	return f
 }
 
--- a/jayfleet/world_test.go
+++ b/jayfleet/world_test.go
@@ -103,7 +103,7 @@
 			list = append(list, *w.hosts[name])
 		}
 	}
-	w.fleet.Listed(list, w.now)
+	w.fleet.ApplyInventory(list, w.now)
 	w.evict()
 	w.reportDemands()
 	for _, a := range w.fleet.Decide(w.now) {
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -178,7 +178,7 @@
 				d.logger.Info("inventory not read", "error", err.Error())
 				return
 			}
-			d.fleet.Listed(hosts, now)
+			d.fleet.ApplyInventory(hosts, now)
 		})
 	}()
 }
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -72,7 +72,7 @@
 	s.clock.every(inventoryInterval, func() {
 		asked := s.clock.now
 		list := s.listHosts()
-		s.clock.after(inventoryLatency, func() { s.fleet.Listed(list, asked) })
+		s.clock.after(inventoryLatency, func() { s.fleet.ApplyInventory(list, asked) })
 	})
 	for _, o := range s.owners {
 		s.clock.every(demandInterval, func() { s.requestDemand(o) })
