--- a/jayfleet/fleet.go
+++ b/jayfleet/fleet.go
@@ -248,8 +248,8 @@
 	return notes
 }
 
-// Demanded stores the latest demand of a pool.
-func (f *Fleet) Demanded(pool string, d Demand) {
+// SetDemand stores the latest demand of a pool.
+func (f *Fleet) SetDemand(pool string, d Demand) {
 	f.demands[pool] = d
 }
 
--- a/jayfleet/thresholds_test.go
+++ b/jayfleet/thresholds_test.go
@@ -76,7 +76,7 @@
 	})
 	checkThreshold(t, "a demand is valid for 1 s", time.Second, func(age time.Duration) bool {
 		f := listed(1, 0)
-		f.Demanded("seats", Demand{At: time.Minute})
+		f.SetDemand("seats", Demand{At: time.Minute})
 		return len(f.balances(time.Minute+age)) == 1
 	})
 	t.Run("one host in reserve", func(t *testing.T) {
@@ -138,7 +138,7 @@
 	t.Run("a long-running task costs as much as four cores", func(t *testing.T) {
 		is := is.New(t)
 		f := listed(1, 0)
-		f.Demanded("seats", Demand{Loads: map[string]Load{"w0": {UsedMilli: 500, LongRuns: 2}}})
+		f.SetDemand("seats", Demand{Loads: map[string]Load{"w0": {UsedMilli: 500, LongRuns: 2}}})
 		is.Equal(f.cost(f.sorted[0]), int64(8500))
 	})
 	t.Run("a round takes 1.5 s more than the maintenance", func(t *testing.T) {
--- a/jayfleet/world_test.go
+++ b/jayfleet/world_test.go
@@ -146,7 +146,7 @@
 			}
 			d.Loads[h.Worker] = l
 		}
-		w.fleet.Demanded(pool, d)
+		w.fleet.SetDemand(pool, d)
 	}
 }
 
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -210,7 +210,7 @@
 			d.askingDemand[pool] = false
 			d.nextDemandAt[pool] = at + demandInterval
 			if err == nil && report.GetOwned() {
-				d.fleet.Demanded(pool, demandOf(report, now))
+				d.fleet.SetDemand(pool, demandOf(report, now))
 				d.clocks[pool] = jaymember.PeerClock{Fence: report.Fence, Clock: micros(report.ClockMicros), HeardAt: at}
 			}
 		})
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -112,7 +112,7 @@
 		o.pool.SetVacating(orders, s.clock.now)
 		demand := fleetDemand(o.pool.Demand(s.clock.now), asked)
 		o.scheduleDecision()
-		s.clock.after(linkLatency, func() { s.fleet.Demanded(o.name, demand) })
+		s.clock.after(linkLatency, func() { s.fleet.SetDemand(o.name, demand) })
 	})
 }
 
