--- a/jayfleet/fleet.go
+++ b/jayfleet/fleet.go
@@ -253,8 +253,8 @@
 	f.demands[pool] = d
 }
 
-// Answered applies the inventory's answer to the command on a host.
-func (f *Fleet) Answered(name string, err error, now time.Duration) {
+// HandleAnswer applies the inventory's answer to the command on a host.
+func (f *Fleet) HandleAnswer(name string, err error, now time.Duration) {
 	h, known := f.hosts[name]
 	if !known || h.command == nil {
 		return
--- a/jayfleet/world_test.go
+++ b/jayfleet/world_test.go
@@ -171,13 +171,13 @@
 		if err == nil || errors.Is(err, jayport.ErrNoAnswer) {
 			w.leave(a.Host, jayport.HostMoving, a.Pool, 1500*time.Millisecond)
 		}
-		w.fleet.Answered(a.Host, err, w.now)
+		w.fleet.HandleAnswer(a.Host, err, w.now)
 	case MaintainHost:
 		err := w.answer(a)
 		if err == nil {
 			w.leave(a.Host, jayport.HostMaintained, w.hosts[a.Host].Pool, 2*time.Second)
 		}
-		w.fleet.Answered(a.Host, err, w.now)
+		w.fleet.HandleAnswer(a.Host, err, w.now)
 	case RecordWave:
 	}
 }
--- a/jaynode/fleetcommands.go
+++ b/jaynode/fleetcommands.go
@@ -93,7 +93,7 @@
 			d.end("a host has seen a higher fence")
 			return
 		}
-		d.fleet.Answered(host, err, now)
+		d.fleet.HandleAnswer(host, err, now)
 		d.nextHostsReadAt = min(d.nextHostsReadAt, now+hostsInterval/2)
 	})
 }
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -141,7 +141,7 @@
 	case jayfleet.MoveHost:
 		s.clock.after(inventoryLatency, func() {
 			err := s.moveHost(a)
-			s.clock.after(linkLatency, func() { s.fleet.Answered(a.Host, err, s.clock.now) })
+			s.clock.after(linkLatency, func() { s.fleet.HandleAnswer(a.Host, err, s.clock.now) })
 		})
 	case jayfleet.MaintainHost, jayfleet.RecordWave:
 	}
