--- a/jayfleet/waves.go
+++ b/jayfleet/waves.go
@@ -22,9 +22,9 @@
 	announced    bool
 }
 
-// Declared adds a wave with the hosts that a previous owner has recorded as maintained. It
+// AddWave adds a wave with the hosts that a previous owner has recorded as maintained. It
 // ignores a wave that is already known.
-func (f *Fleet) Declared(w jayport.Wave, at time.Duration, maintained []string, done bool) {
+func (f *Fleet) AddWave(w jayport.Wave, at time.Duration, maintained []string, done bool) {
 	if _, known := f.waves[w.Name]; known {
 		return
 	}
--- a/jayfleet/waves_test.go
+++ b/jayfleet/waves_test.go
@@ -17,7 +17,7 @@
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 4, "fees": 4, "standby": 4})
 		w.wanted["seats"], w.wanted["fees"] = 2*hostMilli, 2*hostMilli
-		w.fleet.Declared(wave(w.names, 30*time.Second, 3), w.now, nil, false)
+		w.fleet.AddWave(wave(w.names, 30*time.Second, 3), w.now, nil, false)
 		w.steps(25 * time.Second)
 		is.True(w.fleet.waves["1"].done)
 		is.Equal(len(w.fleet.waves["1"].maintained), 12)
@@ -27,7 +27,7 @@
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 2})
 		w.wanted["seats"] = 2 * hostMilli
-		w.fleet.Declared(wave(w.names, 30*time.Second, 2), w.now, []string{"m0"}, false)
+		w.fleet.AddWave(wave(w.names, 30*time.Second, 2), w.now, []string{"m0"}, false)
 		maintained := map[string]bool{}
 		w.answer = func(a Action) error {
 			if m, ok := a.(MaintainHost); ok {
@@ -42,7 +42,7 @@
 	t.Run("a removed host does not delay the wave", func(t *testing.T) {
 		w := newWorld(t, map[string]int{"seats": 2})
 		w.wanted["seats"] = 2 * hostMilli
-		w.fleet.Declared(wave(append(w.names, "gone"), 30*time.Second, 2), w.now, nil, false)
+		w.fleet.AddWave(wave(append(w.names, "gone"), 30*time.Second, 2), w.now, nil, false)
 		w.steps(8 * time.Second)
 		is.New(t).True(w.fleet.waves["1"].done)
 	})
@@ -57,7 +57,7 @@
 			w.runs[w.hosts[name].Worker] = 1
 			w.longRuns[w.hosts[name].Worker] = 1
 		}
-		w.fleet.Declared(wave(w.names[:2], 30*time.Second, 9), w.now, nil, false)
+		w.fleet.AddWave(wave(w.names[:2], 30*time.Second, 9), w.now, nil, false)
 		w.steps(3 * time.Second)
 		is.True(w.hostsUp("seats") > 2)
 	})
@@ -72,7 +72,7 @@
 			w.runs[w.hosts[name].Worker], w.longRuns[w.hosts[name].Worker] = 1, 1
 		}
 		w.wanted["seats"], w.atLeast["seats"] = 3*hostMilli, 12
-		w.fleet.Declared(wave(w.names[:6], 30*time.Second, 9), w.now, nil, false)
+		w.fleet.AddWave(wave(w.names[:6], 30*time.Second, 9), w.now, nil, false)
 		w.steps(4 * time.Second)
 		closed := len(w.fleet.Vacating("seats"))
 		is.True(closed > 0)
@@ -88,7 +88,7 @@
 			w.runs[w.hosts[name].Worker] = 1
 		}
 		w.wanted["seats"] = 3 * hostMilli
-		w.fleet.Declared(wave(w.names, 25*time.Second, 16), w.now, nil, false)
+		w.fleet.AddWave(wave(w.names, 25*time.Second, 16), w.now, nil, false)
 		w.steps(200 * time.Millisecond)
 		w.wanted["seats"] = 14 * hostMilli
 		w.steps(1800 * time.Millisecond)
@@ -108,7 +108,7 @@
 			w.runs[w.hosts[name].Worker], w.longRuns[w.hosts[name].Worker] = 1, 1
 		}
 		w.wanted["seats"] = 20 * hostMilli
-		w.fleet.Declared(wave(w.names, 60*time.Second, 7), w.now, nil, false)
+		w.fleet.AddWave(wave(w.names, 60*time.Second, 7), w.now, nil, false)
 		w.steps(35 * time.Second)
 		is.Equal(len(w.fleet.Vacating("seats")), 3)
 		w.steps(20 * time.Second)
@@ -126,7 +126,7 @@
 		}
 		w.wanted["seats"] = 9 * hostMilli
 		w.evictEvery = 2400 * time.Millisecond
-		w.fleet.Declared(wave(w.names, 25*time.Second, 30), w.now, nil, false)
+		w.fleet.AddWave(wave(w.names, 25*time.Second, 30), w.now, nil, false)
 		w.steps(25 * time.Second)
 		is.Equal(len(w.fleet.waves["1"].maintained), 129)
 	})
@@ -135,7 +135,7 @@
 		w := newWorld(t, map[string]int{"seats": 1, "standby": 1})
 		w.runs["w-m0"] = 1
 		w.wanted["seats"] = hostMilli
-		w.fleet.Declared(wave([]string{"m0"}, 20*time.Second, 1), w.now, nil, false)
+		w.fleet.AddWave(wave([]string{"m0"}, 20*time.Second, 1), w.now, nil, false)
 		w.steps(5 * time.Second)
 		is.Equal(w.fleet.Vacating("seats")["w-m0"].Urgent, false)
 		w.steps(10 * time.Second)
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -121,7 +121,7 @@
 	for _, w := range d.node.declarations.allWaves() {
 		progress := recorded[w.Name]
 		since := waveStartTime(w.since, progress, now, time.Now())
-		d.fleet.Declared(w.Wave, since, progress.GetMaintained(), progress.GetDone())
+		d.fleet.AddWave(w.Wave, since, progress.GetMaintained(), progress.GetDone())
 	}
 	if d.guard.MayDecide(d.journal.StuckFor()) {
 		for _, action := range d.fleet.Decide(now) {
