--- a/jayfleet/fleet.go
+++ b/jayfleet/fleet.go
@@ -113,13 +113,13 @@
 	// shortSince is the time since which a pool has had less than its share, by pool.
 	shortSince map[string]time.Duration
 	// short reports whether some pool has fewer hosts than it can use soon.
-	short   bool
-	actions []Action
-	notes   []Note
+	short       bool
+	actions     []Action
+	hostChanges []HostChange
 }
 
-// Note is a change in the known state of a host.
-type Note struct {
+// HostChange is a change in the known state of a host.
+type HostChange struct {
 	Host   string
 	Pool   string
 	State  jayport.HostState
@@ -215,7 +215,7 @@
 			f.sorted = append(f.sorted, h)
 		}
 		if h.Pool != listed.Pool || h.State != listed.State || h.Worker != listed.Worker {
-			f.notes = append(f.notes, Note{Host: listed.Name, Pool: listed.Pool, State: listed.State, Worker: listed.Worker})
+			f.hostChanges = append(f.hostChanges, HostChange{Host: listed.Name, Pool: listed.Pool, State: listed.State, Worker: listed.Worker})
 		}
 		h.Host = listed
 		h.settle(asked)
@@ -241,11 +241,11 @@
 	}
 }
 
-// Notes returns and clears the notes collected since the last call.
-func (f *Fleet) Notes() []Note {
-	notes := f.notes
-	f.notes = nil
-	return notes
+// TakeHostChanges returns and clears the changes collected since the last call.
+func (f *Fleet) TakeHostChanges() []HostChange {
+	changes := f.hostChanges
+	f.hostChanges = nil
+	return changes
 }
 
 // SetDemand stores the latest demand of a pool.
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -128,8 +128,8 @@
 			d.perform(action)
 		}
 	}
-	for _, n := range d.fleet.Notes() {
-		d.logger.Info("host changed", "host", n.Host, "pool", n.Pool, "state", n.State.String(), "worker", n.Worker)
+	for _, c := range d.fleet.TakeHostChanges() {
+		d.logger.Info("host changed", "host", c.Host, "pool", c.Pool, "state", c.State.String(), "worker", c.Worker)
 	}
 	d.logStates(now)
 	d.readHosts(now)
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -81,7 +81,7 @@
 		for _, a := range s.fleet.Decide(s.clock.now) {
 			s.perform(a)
 		}
-		s.fleet.Notes()
+		s.fleet.TakeHostChanges()
 	})
 }
 
