--- a/jayfleet/guard.go
+++ b/jayfleet/guard.go
@@ -107,9 +107,9 @@
 // Takeover is the time at which an owner took over, by its clock and by wall-clock time,
 // and the wall-clock time at which its entry was started.
 type Takeover struct {
-	Clock   time.Duration
-	Day     time.Time
-	Started time.Time
+	Clock    time.Duration
+	WallTime time.Time
+	Started  time.Time
 }
 
 // HeldUntil returns the time, by the new owner's clock, until which it must not send
@@ -127,7 +127,7 @@
 		return 0
 	case command.ClockKnown:
 		return command.DecidedBy + g.HoldTime()
-	case command.At.Before(t.Day.Add(-g.HoldTime() - 2*clockSkew)):
+	case command.At.Before(t.WallTime.Add(-g.HoldTime() - 2*clockSkew)):
 		return 0
 	default:
 		return t.Clock + g.HoldTime()
--- a/jayfleet/guard_test.go
+++ b/jayfleet/guard_test.go
@@ -33,11 +33,11 @@
 }
 
 func TestGuardHeldUntil(t *testing.T) {
-	takeover := Takeover{Clock: time.Hour, Day: time.UnixMilli(1_000_000_000)}
+	takeover := Takeover{Clock: time.Hour, WallTime: time.UnixMilli(1_000_000_000)}
 	heldFor := func(g Guard, command RecordedCommand, sinceCommand, sinceStart time.Duration) time.Duration {
 		g.HolderTime = 3 * time.Second
-		command.At = takeover.Day.Add(-sinceCommand)
-		takeover.Started = takeover.Day.Add(-sinceStart)
+		command.At = takeover.WallTime.Add(-sinceCommand)
+		takeover.Started = takeover.WallTime.Add(-sinceStart)
 		return max(0, g.HeldUntil(command, takeover)-takeover.Clock)
 	}
 	checked, unchecked := Guard{FencesChecked: true}, Guard{}
@@ -133,7 +133,7 @@
 	}
 	day := time.UnixMilli(1_000_000_000)
 	command := RecordedCommand{At: day.Add(-r.skew), ClockKnown: r.clockKnown}
-	at := Takeover{Clock: r.takeover, Day: day.Add(r.takeover), Started: day.Add(r.takeover - r.sinceStart)}
+	at := Takeover{Clock: r.takeover, WallTime: day.Add(r.takeover), Started: day.Add(r.takeover - r.sinceStart)}
 	return max(r.takeover, r.guard.HeldUntil(command, at))
 }
 
--- a/jayfleet/thresholds_test.go
+++ b/jayfleet/thresholds_test.go
@@ -169,6 +169,6 @@
 	day := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	checkThreshold(t, "a command by an unknown clock holds its host for up to 8 s", 8*time.Second, func(age time.Duration) bool {
 		command := RecordedCommand{At: day.Add(-age)}
-		return checked.HeldUntil(command, Takeover{Clock: time.Hour, Day: day, Started: day.Add(-time.Hour)}) > 0
+		return checked.HeldUntil(command, Takeover{Clock: time.Hour, WallTime: day, Started: day.Add(-time.Hour)}) > 0
 	})
 }
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -92,7 +92,7 @@
 			return nil, false
 		}
 	}
-	held := c.heldHosts(d.guard, d.node.members.Liveness, jayfleet.Takeover{Clock: d.node.clock(), Day: time.Now(), Started: d.node.started})
+	held := c.heldHosts(d.guard, d.node.members.Liveness, jayfleet.Takeover{Clock: d.node.clock(), WallTime: time.Now(), Started: d.node.started})
 	d.fleet = jayfleet.New(jayfleet.Settings{
 		MoveTime:        d.node.settings.MoveTime,
 		MaintenanceTime: d.node.settings.MaintenanceTime,
