--- a/jayfleet/guard.go
+++ b/jayfleet/guard.go
@@ -49,9 +49,9 @@
 	// FencesChecked reports whether the inventory rejects a fence lower than the highest
 	// one that it has seen for the host.
 	FencesChecked bool
-	// HolderTime is the inventory's minimum delay between commands of different owners on
+	// OwnerChangeDelay is the inventory's minimum delay between commands of different owners on
 	// the same host.
-	HolderTime time.Duration
+	OwnerChangeDelay time.Duration
 	// CallTime is the maximum duration of a call to the inventory.
 	CallTime time.Duration
 }
@@ -61,9 +61,9 @@
 // sent at the last permitted moment.
 func (g Guard) HoldTime() time.Duration {
 	if g.FencesChecked {
-		return g.HolderTime
+		return g.OwnerChangeDelay
 	}
-	return max(g.HolderTime, maxCommandAge+g.CallTime)
+	return max(g.OwnerChangeDelay, maxCommandAge+g.CallTime)
 }
 
 // RecordTimeout returns how long a command waits for its record.
--- a/jayfleet/guard_test.go
+++ b/jayfleet/guard_test.go
@@ -35,7 +35,7 @@
 func TestGuardHeldUntil(t *testing.T) {
 	takeover := Takeover{Clock: time.Hour, WallTime: time.UnixMilli(1_000_000_000)}
 	heldFor := func(g Guard, command RecordedCommand, sinceCommand, sinceStart time.Duration) time.Duration {
-		g.HolderTime = 3 * time.Second
+		g.OwnerChangeDelay = 3 * time.Second
 		command.At = takeover.WallTime.Add(-sinceCommand)
 		takeover.Started = takeover.WallTime.Add(-sinceStart)
 		return max(0, g.HeldUntil(command, takeover)-takeover.Clock)
@@ -166,7 +166,7 @@
 	// command after one of the next owner's. The model covers all orders of decision,
 	// record, answer, pause, sending, delayed arrival and takeover, with wall clocks that
 	// differ by up to twice the assumed error.
-	g := Guard{HolderTime: 3 * time.Second, CallTime: 700 * time.Millisecond}
+	g := Guard{OwnerChangeDelay: 3 * time.Second, CallTime: 700 * time.Millisecond}
 	count, sent := 0, 0
 	forEachInterleaving(g, func(r interleaving) {
 		count++
--- a/jayfleet/thresholds_test.go
+++ b/jayfleet/thresholds_test.go
@@ -155,8 +155,8 @@
 }
 
 func TestGuardThresholds(t *testing.T) {
-	checked := Guard{FencesChecked: true, HolderTime: 3 * time.Second, CallTime: 700 * time.Millisecond}
-	unchecked := Guard{HolderTime: time.Second, CallTime: 700 * time.Millisecond}
+	checked := Guard{FencesChecked: true, OwnerChangeDelay: 3 * time.Second, CallTime: 700 * time.Millisecond}
+	unchecked := Guard{OwnerChangeDelay: time.Second, CallTime: 700 * time.Millisecond}
 	is := is.New(t)
 	is.Equal(checked.HoldTime(), 3*time.Second)
 	is.Equal(unchecked.HoldTime(), 1700*time.Millisecond) // covers a command sent at the last permitted moment
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -55,9 +55,9 @@
 	return &fleetDuty{
 		duty: newDuty(n, claim, n.ports.Formats.Own(topicFleet, 0), fleetInbox, n.logger.WithName("fleet").WithValues("fence", claim.Fence)),
 		guard: jayfleet.Guard{
-			FencesChecked: n.settings.FencesChecked,
-			HolderTime:    n.settings.HolderTime,
-			CallTime:      inventoryTimeout,
+			FencesChecked:    n.settings.FencesChecked,
+			OwnerChangeDelay: n.settings.HolderTime,
+			CallTime:         inventoryTimeout,
 		},
 		askingDemand: map[string]bool{},
 		nextDemandAt: map[string]time.Duration{},
--- a/jaynode/fleetduty_test.go
+++ b/jaynode/fleetduty_test.go
@@ -41,7 +41,7 @@
 		gone:   map[string]bool{"gone": true},
 		clocks: map[string]jaymember.PeerClock{"peer": {Clock: 58 * time.Second, HeardAt: 8 * time.Second}},
 	}
-	guard := jayfleet.Guard{HolderTime: 3 * time.Second}
+	guard := jayfleet.Guard{OwnerChangeDelay: 3 * time.Second}
 	held := c.heldHosts(guard, peers, jayfleet.Takeover{Clock: 10 * time.Second, WallTime: day, Started: day.Add(-time.Minute)})
 	is.Equal(held, map[string]time.Duration{"unknown": 13 * time.Second, "known": 12 * time.Second})
 }
