--- a/jayapi/explain.go
+++ b/jayapi/explain.go
@@ -37,7 +37,7 @@
 	states := map[string]string{}
 	if config := state.Configuration(); config != nil {
 		for _, p := range config.Pools {
-			states[p.Name] = jayplan.PoolState(state.Fleet.Pool(p.Name).Standing(config.Budget(p.Name)))
+			states[p.Name] = jayplan.PoolState(state.Fleet.Pool(p.Name).BudgetStatus(config.Budget(p.Name)))
 		}
 	}
 	return states
--- a/jayapi/status.go
+++ b/jayapi/status.go
@@ -51,15 +51,15 @@
 }
 
 func poolStatus(state *jaystate.State, name string) PoolStatus {
-	standing := state.Fleet.Pool(name).Standing(state.Configuration().Budget(name))
+	budgetStatus := state.Fleet.Pool(name).BudgetStatus(state.Configuration().Budget(name))
 	p := PoolStatus{
 		Pool:         name,
-		Members:      standing.Members,
-		Available:    standing.Available,
-		MinAvailable: standing.MinAvailable,
-		WorstLoss:    standing.WorstLoss,
-		Slack:        standing.Slack(),
-		State:        jayplan.PoolState(standing),
+		Members:      budgetStatus.Members,
+		Available:    budgetStatus.Available,
+		MinAvailable: budgetStatus.MinAvailable,
+		WorstLoss:    budgetStatus.WorstLoss,
+		Slack:        budgetStatus.Slack(),
+		State:        jayplan.PoolState(budgetStatus),
 	}
 	for _, id := range state.Fleet.IDs() {
 		i, _ := state.Fleet.Instance(id)
--- a/jayentry/metrics.go
+++ b/jayentry/metrics.go
@@ -63,13 +63,13 @@
 			return
 		}
 		for _, p := range config.Pools {
-			standing := s.Fleet.Pool(p.Name).Standing(config.Budget(p.Name))
+			budgetStatus := s.Fleet.Pool(p.Name).BudgetStatus(config.Budget(p.Name))
 			sample := jaymetric.PoolSample{
 				Pool:         p.Name,
-				Members:      standing.Members,
-				Available:    standing.Available,
-				MinAvailable: standing.MinAvailable,
-				Slack:        standing.Slack(),
+				Members:      budgetStatus.Members,
+				Available:    budgetStatus.Available,
+				MinAvailable: budgetStatus.MinAvailable,
+				Slack:        budgetStatus.Slack(),
 			}
 			if pool, ok := v.Pools[p.Name]; ok {
 				sample.Waiting = pool.Waiting()
--- a/jayentry/watch.go
+++ b/jayentry/watch.go
@@ -61,5 +61,5 @@
 }
 
 func poolState(s *jaystate.State, pool string) string {
-	return jayplan.PoolState(s.Fleet.Pool(pool).Standing(s.Configuration().Budget(pool)))
+	return jayplan.PoolState(s.Fleet.Pool(pool).BudgetStatus(s.Configuration().Budget(pool)))
 }
--- a/jayplan/instances.go
+++ b/jayplan/instances.go
@@ -122,7 +122,7 @@
 func (r *round) lend() {
 	for n := range r.config.Pools {
 		needy := r.config.Pools[n].Name
-		if r.standing(needy).Slack() >= 0 || r.receivesInstance(needy) {
+		if r.budgetStatus(needy).Slack() >= 0 || r.receivesInstance(needy) {
 			continue
 		}
 		if donor, rule := r.donor(needy); donor != nil {
@@ -155,7 +155,7 @@
 		if !i.Available() || i.Pool == needy || r.busy[id] {
 			continue
 		}
-		after := r.in.State.Fleet.Pool(i.Pool).StandingWithout(i, r.config.Budget(i.Pool))
+		after := r.in.State.Fleet.Pool(i.Pool).BudgetStatusWithout(i, r.config.Budget(i.Pool))
 		if after.Slack() < 0 || best != nil && after.Slack() <= bestSlack {
 			continue
 		}
@@ -174,7 +174,7 @@
 		if !i.Available() || i.Pool == i.Home || r.busy[id] {
 			continue
 		}
-		after := r.in.State.Fleet.Pool(i.Pool).StandingWithout(i, r.config.Budget(i.Pool))
+		after := r.in.State.Fleet.Pool(i.Pool).BudgetStatusWithout(i, r.config.Budget(i.Pool))
 		if after.Slack() >= 1 && r.due("give back "+id, i.Version, r.planner.settings.SettleTime) {
 			r.move(i, i.Home, false, "not needed any more")
 		}
--- a/jayplan/plan.go
+++ b/jayplan/plan.go
@@ -169,16 +169,16 @@
 	})
 }
 
-func (r *round) standing(pool string) jaypool.Standing {
-	return r.in.State.Fleet.Pool(pool).Standing(r.config.Budget(pool))
+func (r *round) budgetStatus(pool string) jaypool.BudgetStatus {
+	return r.in.State.Fleet.Pool(pool).BudgetStatus(r.config.Budget(pool))
 }
 
 func (r *round) poolState(pool string) string {
-	return PoolState(r.standing(pool))
+	return PoolState(r.budgetStatus(pool))
 }
 
-// PoolState returns the name that rules use for a standing: holds, tight or broken.
-func PoolState(s jaypool.Standing) string {
+// PoolState returns the name that rules use for a budget status: holds, tight or broken.
+func PoolState(s jaypool.BudgetStatus) string {
 	switch {
 	case !s.Holds():
 		return "broken"
--- a/jayplan/waves.go
+++ b/jayplan/waves.go
@@ -50,7 +50,7 @@
 	cancelled := w.Phase == jaywire.WavePhase_WAVE_PHASE_CANCELLED
 	// Check again before the reboot: a failure since the step was accepted may have used
 	// up the reserve.
-	atRisk := r.standing(i.Pool).Slack() < 0 && !i.Failed
+	atRisk := r.budgetStatus(i.Pool).Slack() < 0 && !i.Failed
 	if cancelled || atRisk {
 		reason := "cancelled"
 		if atRisk {
@@ -138,7 +138,7 @@
 		}
 	}
 	for _, pool := range w.Pools {
-		if !r.standing(pool).Holds() {
+		if !r.budgetStatus(pool).Holds() {
 			return "the budget of pool " + pool + " is broken"
 		}
 	}
--- a/jaypool/budget.go
+++ b/jaypool/budget.go
@@ -17,8 +17,8 @@
 	Survive      DomainKind
 }
 
-// Standing is the state of a pool relative to its budget.
-type Standing struct {
+// BudgetStatus is the state of a pool relative to its budget.
+type BudgetStatus struct {
 	Members   int
 	Available int
 	// WorstLoss is the largest number of available instances in one failure domain.
@@ -28,14 +28,14 @@
 }
 
 // Holds reports whether the minimum is available now.
-func (s Standing) Holds() bool {
+func (s BudgetStatus) Holds() bool {
 	return s.Available >= s.MinAvailable
 }
 
 // Slack returns the number of instances that may still stop before the loss of the worst
 // failure domain would break the budget. It is negative if that loss would break the
 // budget already.
-func (s Standing) Slack() int {
+func (s BudgetStatus) Slack() int {
 	return s.Available - s.WorstLoss - s.MinAvailable
 }
 
@@ -52,9 +52,9 @@
 	return &Pool{Name: name, racks: NewSpread(), centers: NewSpread()}
 }
 
-// Standing returns the state of the pool relative to a budget.
-func (p *Pool) Standing(b Budget) Standing {
-	return Standing{
+// BudgetStatus returns the state of the pool relative to a budget.
+func (p *Pool) BudgetStatus(b Budget) BudgetStatus {
+	return BudgetStatus{
 		Members:      p.members,
 		Available:    p.available,
 		WorstLoss:    p.spread(b).Worst(),
@@ -69,12 +69,12 @@
 	return p.racks
 }
 
-// StandingWithout returns the standing after the given available member has stopped.
-func (p *Pool) StandingWithout(i *Instance, b Budget) Standing {
+// BudgetStatusWithout returns the status after the given available member has stopped.
+func (p *Pool) BudgetStatusWithout(i *Instance, b Budget) BudgetStatus {
 	if !i.Available() || i.Pool != p.Name {
-		return p.Standing(b)
+		return p.BudgetStatus(b)
 	}
-	s := p.Standing(b)
+	s := p.BudgetStatus(b)
 	s.Available--
 	s.WorstLoss = p.spread(b).WorstWithout(i.Domain(b.Survive))
 	return s
--- a/jaypool/fleet.go
+++ b/jaypool/fleet.go
@@ -223,7 +223,7 @@
 	if !i.Available() {
 		return fmt.Errorf("%w: %s", ErrNotAvailable, i.ID)
 	}
-	after := f.Pool(i.Pool).StandingWithout(i, budget)
+	after := f.Pool(i.Pool).BudgetStatusWithout(i, budget)
 	if after.Slack() < 0 {
 		return fmt.Errorf("%w: pool %s would have %d available, lose up to %d, and needs %d",
 			ErrBudget, i.Pool, after.Available, after.WorstLoss, after.MinAvailable)
--- a/jaypool/fleet_test.go
+++ b/jaypool/fleet_test.go
@@ -28,8 +28,8 @@
 	t.Run("counts the worst rack on top of the minimum", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet(t)
-		s := f.Pool("seats").Standing(budget)
-		is.Equal(s, Standing{Members: 6, Available: 6, WorstLoss: 2, MinAvailable: 3})
+		s := f.Pool("seats").BudgetStatus(budget)
+		is.Equal(s, BudgetStatus{Members: 6, Available: 6, WorstLoss: 2, MinAvailable: 3})
 		is.Equal(s.Slack(), 1)
 	})
 	t.Run("a step is rejected if the loss of the worst rack would break the budget", func(t *testing.T) {
@@ -42,7 +42,7 @@
 	t.Run("the failure domain is a data centre if the budget requires it", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet(t)
-		s := f.Pool("seats").Standing(Budget{MinAvailable: 3, Survive: DataCenterDomain})
+		s := f.Pool("seats").BudgetStatus(Budget{MinAvailable: 3, Survive: DataCenterDomain})
 		is.Equal(s.WorstLoss, 6)
 	})
 	t.Run("quarantine counts against the budget", func(t *testing.T) {
@@ -73,9 +73,9 @@
 	is.NoErr(f.DrainForMove("w0", Move{ToPool: "fees", Fence: 9}, 1, budget))
 	is.True(errors.Is(f.Attach(Instance{ID: "w0", Pool: "fees"}, 2), ErrAttached)) // it is still draining
 	is.NoErr(f.Detach("w0", 2))
-	is.Equal(f.Pool("seats").Standing(budget).Members, 5)
+	is.Equal(f.Pool("seats").BudgetStatus(budget).Members, 5)
 	is.NoErr(f.Attach(Instance{ID: "w0", Pool: "fees"}, 3))
-	is.Equal(f.Pool("fees").Standing(budget).Members, 1)
+	is.Equal(f.Pool("fees").BudgetStatus(budget).Members, 1)
 }
 
 // TestFleetInvariants applies random commands and checks after each that no accepted
@@ -114,8 +114,8 @@
 			checkCounters(t, f)
 			took := planned && err == nil && !i.Available()
 			if took && i.Phase != Rebooting && i.Phase != Settling && i.Phase != Detached && !i.Failed {
-				if f.Pool("seats").Standing(budget).Slack() < 0 && i.Pool == "seats" {
-					t.Fatalf("%s was accepted as %s with a slack of %d", id, i.Phase, f.Pool("seats").Standing(budget).Slack())
+				if f.Pool("seats").BudgetStatus(budget).Slack() < 0 && i.Pool == "seats" {
+					t.Fatalf("%s was accepted as %s with a slack of %d", id, i.Phase, f.Pool("seats").BudgetStatus(budget).Slack())
 				}
 			}
 		}
@@ -136,7 +136,7 @@
 				available++
 			}
 		}
-		s := f.Pool(pool).Standing(budget)
+		s := f.Pool(pool).BudgetStatus(budget)
 		if s.Members != members || s.Available != available {
 			t.Fatalf("pool %s counts %d of %d, its instances are %d of %d", pool, s.Available, s.Members, available, members)
 		}
--- a/jaystate/fold_test.go
+++ b/jaystate/fold_test.go
@@ -374,14 +374,14 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newState(t)
 		for range rapid.IntRange(1, 80).Draw(rt, "commands") {
-			slack := s.Fleet.Pool("seats").Standing(s.budget("seats")).Slack()
+			slack := s.Fleet.Pool("seats").BudgetStatus(s.budget("seats")).Slack()
 			revision := s.Revision.Number
 			c := anyCommand(rt, s)
 			outcomes, err := s.Apply(s.Offset, record(t, c))
 			if err != nil {
 				rt.Fatal(err)
 			}
-			after := s.Fleet.Pool("seats").Standing(s.budget("seats")).Slack()
+			after := s.Fleet.Pool("seats").BudgetStatus(s.budget("seats")).Slack()
 			_, observed := c.Body.(*jaywire.Command_ReportInstance)
 			_, advanced := c.Body.(*jaywire.Command_AdvanceStep)
 			chosen := outcomes[0].Accepted() && !observed && !advanced
--- a/jaywave/play.go
+++ b/jaywave/play.go
@@ -189,7 +189,7 @@
 		_ = g.view.Fleet.SetFailed(e.instance, e.failed)
 	}
 	for _, p := range g.view.Pools {
-		if !g.view.Fleet.Pool(p.Name).Standing(p.Budget).Holds() {
+		if !g.view.Fleet.Pool(p.Name).BudgetStatus(p.Budget).Holds() {
 			g.run.Breaches++
 		}
 	}
@@ -197,7 +197,7 @@
 
 func (g *simulation) addBufferCost(d time.Duration) {
 	for _, p := range g.view.Pools {
-		s := g.view.Fleet.Pool(p.Name).Standing(p.Budget)
+		s := g.view.Fleet.Pool(p.Name).BudgetStatus(p.Budget)
 		g.spare += d * time.Duration(s.Available-s.MinAvailable)
 		g.needed += d * time.Duration(s.MinAvailable)
 	}
--- a/jaywave/reserve.go
+++ b/jaywave/reserve.go
@@ -32,7 +32,7 @@
 func PerPoolReserve(v View) Reserve {
 	var r Reserve
 	for _, p := range v.Pools {
-		loss := v.Fleet.Pool(p.Name).Standing(p.Budget).WorstLoss
+		loss := v.Fleet.Pool(p.Name).BudgetStatus(p.Budget).WorstLoss
 		r.Needed += p.Budget.MinAvailable
 		r.FirstLoss += loss
 		r.SecondLoss += loss
--- a/jaywave/wave.go
+++ b/jaywave/wave.go
@@ -97,10 +97,10 @@
 
 type poolRound struct {
 	Pool
-	standing  jaypool.Standing
-	spread    *jaypool.Spread
-	underWay  int
-	remaining int
+	budgetStatus jaypool.BudgetStatus
+	spread       *jaypool.Spread
+	underWay     int
+	remaining    int
 	// free is the number of maintained instances that can take a task.
 	free int
 	// empty is the number of unmaintained instances without a task.
@@ -110,8 +110,8 @@
 func newRound(v View) *round {
 	r := &round{view: v, pools: make(map[string]*poolRound, len(v.Pools)), busyRacks: map[string]int{}}
 	for _, p := range v.Pools {
-		standing := v.Fleet.Pool(p.Name).Standing(p.Budget)
-		r.pools[p.Name] = &poolRound{Pool: p, standing: standing, spread: jaypool.NewSpread()}
+		budgetStatus := v.Fleet.Pool(p.Name).BudgetStatus(p.Budget)
+		r.pools[p.Name] = &poolRound{Pool: p, budgetStatus: budgetStatus, spread: jaypool.NewSpread()}
 	}
 	for _, id := range v.Fleet.IDs() {
 		r.countInstance(id)
@@ -173,7 +173,7 @@
 	if p.Paused {
 		return false
 	}
-	if p.MaxShare > 0 && p.underWay+1 > max(1, int(p.MaxShare*float64(p.standing.Members))) {
+	if p.MaxShare > 0 && p.underWay+1 > max(1, int(p.MaxShare*float64(p.budgetStatus.Members))) {
 		return false
 	}
 	if r.checkTaskTargets && r.view.Busy[i.ID] && !p.hasTaskTarget() {
@@ -188,7 +188,7 @@
 func (r *round) start(i *jaypool.Instance) {
 	p := r.pools[i.Pool]
 	if i.Available() {
-		p.standing.Available--
+		p.budgetStatus.Available--
 		p.spread.Add(i.Domain(p.Budget.Survive), -1)
 	}
 	if r.view.Busy[i.ID] {
@@ -211,7 +211,7 @@
 
 func (p *poolRound) slackWithout(i *jaypool.Instance) int {
 	worst := p.spread.WorstWithout(i.Domain(p.Budget.Survive))
-	return p.standing.Available - 1 - worst - p.standing.MinAvailable
+	return p.budgetStatus.Available - 1 - worst - p.budgetStatus.MinAvailable
 }
 
 // rackByRack starts steps in a single rack until all of its instances have returned.
@@ -298,7 +298,7 @@
 // the pool with the longest remaining time has the least flexibility.
 func (r *round) flexibility(pool string) time.Duration {
 	p := r.pools[pool]
-	width := max(1, p.underWay+p.standing.Slack())
+	width := max(1, p.underWay+p.budgetStatus.Slack())
 	rounds := (p.remaining + p.underWay + width - 1) / width
 	return -time.Duration(rounds) * r.view.StepTime
 }
@@ -310,7 +310,7 @@
 	var longest time.Duration
 	total := 0
 	for _, p := range v.Pools {
-		s := v.Fleet.Pool(p.Name).Standing(p.Budget)
+		s := v.Fleet.Pool(p.Name).BudgetStatus(p.Budget)
 		if s.Members == 0 {
 			continue
 		}
@@ -327,7 +327,7 @@
 // minWorstLoss returns the smallest possible size of the worst domain when the pool has
 // only its minimum and the reserve available, which is the case for an even distribution
 // over its domains.
-func minWorstLoss(s jaypool.Standing, v View, p Pool) int {
+func minWorstLoss(s jaypool.BudgetStatus, v View, p Pool) int {
 	domains := map[string]bool{}
 	for _, id := range v.Fleet.IDs() {
 		if i, _ := v.Fleet.Instance(id); i.Pool == p.Name {
--- a/jaywave/wave_test.go
+++ b/jaywave/wave_test.go
@@ -154,7 +154,7 @@
 		}
 		before := map[string]int{}
 		for _, p := range v.Pools {
-			before[p.Name] = v.Fleet.Pool(p.Name).Standing(p.Budget).Slack()
+			before[p.Name] = v.Fleet.Pool(p.Name).BudgetStatus(p.Budget).Slack()
 		}
 		policy := rapid.SampledFrom(policies).Draw(t, "policy")
 		for _, id := range Next(v, policy.policy) {
