--- a/jayconfig/configuration.go
+++ b/jayconfig/configuration.go
@@ -100,7 +100,7 @@
 	}
 	b := jaypool.Budget{MinAvailable: p.MinAvailable}
 	if p.Survive == "dataCenter" {
-		b.Survive = jaypool.DataCenterDomain
+		b.FailureDomain = jaypool.DataCenterDomain
 	}
 	return b
 }
--- a/jaypool/budget.go
+++ b/jaypool/budget.go
@@ -11,10 +11,10 @@
 )
 
 // Budget is a pool's availability budget: at least MinAvailable instances remain
-// available, even if the worst single failure domain of kind Survive is lost.
+// available, even if the worst single failure domain of kind FailureDomain is lost.
 type Budget struct {
-	MinAvailable int
-	Survive      DomainKind
+	MinAvailable  int
+	FailureDomain DomainKind
 }
 
 // BudgetStatus is the state of a pool relative to its budget.
@@ -63,7 +63,7 @@
 }
 
 func (p *Pool) spread(b Budget) *Spread {
-	if b.Survive == DataCenterDomain {
+	if b.FailureDomain == DataCenterDomain {
 		return p.centers
 	}
 	return p.racks
@@ -76,7 +76,7 @@
 	}
 	s := p.BudgetStatus(b)
 	s.Available--
-	s.WorstLoss = p.spread(b).WorstWithout(i.Domain(b.Survive))
+	s.WorstLoss = p.spread(b).WorstWithout(i.Domain(b.FailureDomain))
 	return s
 }
 
--- a/jaypool/fleet_test.go
+++ b/jaypool/fleet_test.go
@@ -42,7 +42,7 @@
 	t.Run("the failure domain is a data centre if the budget requires it", func(t *testing.T) {
 		is := is.New(t)
 		f := newTestFleet(t)
-		s := f.Pool("seats").BudgetStatus(Budget{MinAvailable: 3, Survive: DataCenterDomain})
+		s := f.Pool("seats").BudgetStatus(Budget{MinAvailable: 3, FailureDomain: DataCenterDomain})
 		is.Equal(s.WorstLoss, 6)
 	})
 	t.Run("quarantine counts against the budget", func(t *testing.T) {
--- a/jaywave/wave.go
+++ b/jaywave/wave.go
@@ -130,7 +130,7 @@
 		return
 	}
 	if i.Available() {
-		p.spread.Add(i.Domain(p.Budget.Survive), 1)
+		p.spread.Add(i.Domain(p.Budget.FailureDomain), 1)
 	}
 	switch i.Phase {
 	case jaypool.Draining, jaypool.Rebooting, jaypool.Settling:
@@ -189,7 +189,7 @@
 	p := r.pools[i.Pool]
 	if i.Available() {
 		p.budgetStatus.Available--
-		p.spread.Add(i.Domain(p.Budget.Survive), -1)
+		p.spread.Add(i.Domain(p.Budget.FailureDomain), -1)
 	}
 	if r.view.Busy[i.ID] {
 		p.free--
@@ -210,7 +210,7 @@
 }
 
 func (p *poolRound) slackWithout(i *jaypool.Instance) int {
-	worst := p.spread.WorstWithout(i.Domain(p.Budget.Survive))
+	worst := p.spread.WorstWithout(i.Domain(p.Budget.FailureDomain))
 	return p.budgetStatus.Available - 1 - worst - p.budgetStatus.MinAvailable
 }
 
@@ -290,7 +290,7 @@
 // domain. Stopping an instance in the largest domain reduces the worst loss.
 func (r *round) domainSize(i *jaypool.Instance) int {
 	p := r.pools[i.Pool]
-	return p.spread.Count(i.Domain(p.Budget.Survive))
+	return p.spread.Count(i.Domain(p.Budget.FailureDomain))
 }
 
 // flexibility returns the negated time that the pool's remaining steps take with as many
@@ -331,7 +331,7 @@
 	domains := map[string]bool{}
 	for _, id := range v.Fleet.IDs() {
 		if i, _ := v.Fleet.Instance(id); i.Pool == p.Name {
-			domains[i.Domain(p.Budget.Survive)] = true
+			domains[i.Domain(p.Budget.FailureDomain)] = true
 		}
 	}
 	if len(domains) <= 1 {
