--- a/jayclaim/claimer.go
+++ b/jayclaim/claimer.go
@@ -135,9 +135,9 @@
 	return c.counters
 }
 
-// Take claims the key and decides on the request. A returned error is of type
+// Claim claims the key and decides on the request. A returned error is of type
 // *jayverdict.Error.
-func (c *Claimer) Take(key Key, fingerprint []byte, timeout time.Duration) (Decision, error) {
+func (c *Claimer) Claim(key Key, fingerprint []byte, timeout time.Duration) (Decision, error) {
 	deadline := c.now().Add(timeout)
 	claim := &jaywire.Claim{
 		Kind:        jaywire.ClaimKind_CLAIM_KIND_TAKE,
--- a/jayclaim/claimer_test.go
+++ b/jayclaim/claimer_test.go
@@ -42,11 +42,11 @@
 	is := is.New(t)
 	c := newIsolated()
 	key := NewKey("caller", "k")
-	_, err := c.Take(key, nil, time.Second)
+	_, err := c.Claim(key, nil, time.Second)
 	is.Equal(jayverdict.Of(err), jayverdict.NotRun)
 	is.Equal(c.HandleClaim(newClaim("b", key, true)).Outcome, jaywire.ClaimOutcome_CLAIM_OUTCOME_UNREADY)
 	c.SetReady()
-	_, err = c.Take(key, nil, time.Second)
+	_, err = c.Claim(key, nil, time.Second)
 	is.NoErr(err)
 }
 
--- a/jayserve/exchange.go
+++ b/jayserve/exchange.go
@@ -148,7 +148,7 @@
 	if k == nil || k.claim != nil {
 		return false, nil
 	}
-	decision, err := x.server.claimer.Take(k.key, k.fingerprint, x.left())
+	decision, err := x.server.claimer.Claim(k.key, k.fingerprint, x.left())
 	if err != nil {
 		return false, &refusedBeforeAttempt{err: err}
 	}
