--- a/jayclaim/resend.go
+++ b/jayclaim/resend.go
@@ -13,9 +13,9 @@
 // a request that is still running there.
 const resendPoll = 50 * time.Millisecond
 
-// Known answers a resend whose key this entry already knows, without taking a slot
+// AnswerKnown answers a resend whose key this entry already knows, without taking a slot
 // at an upstream. It returns nil if the key is new.
-func (c *Claimer) Known(key Key, fingerprint []byte, timeout time.Duration) (Decision, error) {
+func (c *Claimer) AnswerKnown(key Key, fingerprint []byte, timeout time.Duration) (Decision, error) {
 	c.mu.Lock()
 	holder, held := c.table.Holder(key)
 	c.mu.Unlock()
--- a/jayserve/exchange.go
+++ b/jayserve/exchange.go
@@ -40,7 +40,7 @@
 		fingerprint: jayclaim.Fingerprint(string(x.ctx.Method()), string(x.ctx.RequestURI()), x.ctx.PostBody()),
 	}
 	claimer := x.server.claimer
-	decision, err := claimer.Known(k.key, k.fingerprint, x.left())
+	decision, err := claimer.AnswerKnown(k.key, k.fingerprint, x.left())
 	if err != nil {
 		return err
 	}
