--- a/jayclaim/capacity_test.go
+++ b/jayclaim/capacity_test.go
@@ -20,7 +20,7 @@
 		table = NewTable(time.Hour)
 		for n := range keys {
 			id := fmt.Sprintf("00000000-0000-0000-0000-%012d", n)
-			table.Fold(newClaim(id, NewKey("caller", id), false), now)
+			table.Apply(newClaim(id, NewKey("caller", id), false), now)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/jayclaim/peer.go
+++ b/jayclaim/peer.go
@@ -76,12 +76,12 @@
 	}
 }
 
-// Fold records a claim read from the log and reports whether it is the first one
+// Apply records a claim read from the log and reports whether it is the first one
 // for its key there.
-func (c *Claimer) Fold(claim *jaywire.Claim) bool {
+func (c *Claimer) Apply(claim *jaywire.Claim) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Fold(claim, c.now())
+	return c.table.Apply(claim, c.now())
 }
 
 // Keys returns the number of remembered keys.
--- a/jayclaim/table.go
+++ b/jayclaim/table.go
@@ -119,9 +119,9 @@
 	return nil, true
 }
 
-// Fold records a claim read from the log. It reports whether the claim is the
+// Apply records a claim read from the log. It reports whether the claim is the
 // first one for its key there.
-func (t *Table) Fold(claim *jaywire.Claim, now time.Time) (first bool) {
+func (t *Table) Apply(claim *jaywire.Claim, now time.Time) (first bool) {
 	if len(claim.Key) != len(Key{}) {
 		return false
 	}
--- a/jayentry/capacity_test.go
+++ b/jayentry/capacity_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	store.Take(jayplatform.Page{Next: 1, Records: []jayplatform.Record{{Data: record}}}, time.Now(), true)
+	store.Apply(jayplatform.Page{Next: 1, Records: []jayplatform.Record{{Data: record}}}, time.Now(), true)
 	r.applyInstances(list)
 	return r
 }
--- a/jayentry/claims.go
+++ b/jayentry/claims.go
@@ -74,8 +74,8 @@
 	return c.caughtUp
 }
 
-// Take applies a page of claims.
-func (c *claimLog) Take(page jayplatform.Page, readBegan time.Time, caughtUp bool) {
+// Apply applies a page of claims.
+func (c *claimLog) Apply(page jayplatform.Page, readBegan time.Time, caughtUp bool) {
 	for _, record := range page.Records {
 		batch := &jaywire.ClaimBatch{}
 		if err := proto.Unmarshal(record.Data, batch); err != nil {
@@ -98,7 +98,7 @@
 }
 
 func (c *claimLog) observe(claim *jaywire.Claim) {
-	first := c.claimer.Fold(claim)
+	first := c.claimer.Apply(claim)
 	id := claim.Id
 	if claim.Kind == jaywire.ClaimKind_CLAIM_KIND_RELEASE {
 		id = releaseID(id)
--- a/jayentry/state_test.go
+++ b/jayentry/state_test.go
@@ -292,7 +292,7 @@
 			time.Sleep(10 * time.Second)
 			is.True(!e.viewUsable())
 			next := jayplatform.Record{Offset: e.store.From(), Data: nil}
-			e.store.Take(jayplatform.Page{Next: next.Offset + 1, Records: []jayplatform.Record{next}}, time.Now(), true)
+			e.store.Apply(jayplatform.Page{Next: next.Offset + 1, Records: []jayplatform.Record{next}}, time.Now(), true)
 			is.True(!e.viewUsable())
 			e.router.rebuild()
 			is.True(e.viewUsable())
--- a/jayentry/store.go
+++ b/jayentry/store.go
@@ -138,8 +138,8 @@
 	return s.caughtUp
 }
 
-// Take applies a page of the state stream.
-func (s *Store) Take(page jayplatform.Page, readBegan time.Time, caughtUp bool) {
+// Apply applies a page of the state stream.
+func (s *Store) Apply(page jayplatform.Page, readBegan time.Time, caughtUp bool) {
 	s.mu.Lock()
 	var outcomes []jaystate.Outcome
 	for _, record := range page.Records {
--- a/jaylog/committer_test.go
+++ b/jaylog/committer_test.go
@@ -54,7 +54,7 @@
 	return l.from
 }
 
-func (l *wordReader) Take(page jayplatform.Page, began time.Time, caughtUp bool) {
+func (l *wordReader) Apply(page jayplatform.Page, began time.Time, caughtUp bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range page.Records {
--- a/jaylog/follower.go
+++ b/jaylog/follower.go
@@ -18,9 +18,9 @@
 type Reader interface {
 	// From returns the offset of the next record to read.
 	From() uint64
-	// Take processes a page of records; caughtUp is true if the page reaches the
+	// Apply processes a page of records; caughtUp is true if the page reaches the
 	// end of the stream. readBegan is the time at which the read began.
-	Take(page jayplatform.Page, readBegan time.Time, caughtUp bool)
+	Apply(page jayplatform.Page, readBegan time.Time, caughtUp bool)
 	// Expired is called when the record at the offset From has expired; first is
 	// the oldest offset that the log service retains.
 	Expired(first uint64)
@@ -85,6 +85,6 @@
 	if n := len(page.Records); n > 0 {
 		end = page.Records[n-1].Offset + 1
 	}
-	f.reader.Take(page, began, end >= page.Next)
+	f.reader.Apply(page, began, end >= page.Next)
 	return nil
 }
