--- a/jayentry/peers.go
+++ b/jayentry/peers.go
@@ -328,7 +328,7 @@
 	return 2*heard > len(others)+1
 }
 
-// Acked returns the lowest offset that is applied at every member that may still
+// MinRoutedOffset returns the lowest offset that is applied at every member that may still
 // route by its view.
 //
 // A member that has ended does not count. If a member was silent for twice the
@@ -336,8 +336,8 @@
 // applied that long ago is used for it. If the silent member still hears a
 // majority, that majority shares a member with the one heard here, which has
 // passed that offset on. If it does not, its view lease has expired since.
-func (m *Membership) Acked() uint64 {
-	acked, _ := m.position()
+func (m *Membership) MinRoutedOffset() uint64 {
+	lowest, _ := m.position()
 	majority := m.Majority()
 	others := m.Others()
 	m.mu.Lock()
@@ -353,12 +353,12 @@
 			heard = m.started
 		}
 		if majority && m.now().Sub(heard) > 2*viewLease {
-			acked = min(acked, max(h.offset, lapsedOffset))
+			lowest = min(lowest, max(h.offset, lapsedOffset))
 			continue
 		}
-		acked = min(acked, h.offset)
+		lowest = min(lowest, h.offset)
 	}
-	return acked
+	return lowest
 }
 
 // recordApplied appends the current offset to the history of applied offsets.
--- a/jayentry/state_test.go
+++ b/jayentry/state_test.go
@@ -324,24 +324,24 @@
 	// its own offset.
 	withCluster(t, 4, func(w *cluster) {
 		is := is.New(w.t)
-		acked := w.nodes[0].entry.members.Acked()
+		lowest := w.nodes[0].entry.members.MinRoutedOffset()
 		var offset uint64
 		w.nodes[0].entry.Read(func(s *jaystate.State) { offset = s.Offset })
-		is.Equal(acked, offset)
+		is.Equal(lowest, offset)
 		w.nodes[3].set(func(n *node) { n.cutLog, n.cutPeer = true, true })
 		time.Sleep(time.Second)
 		outcome := w.publish(0, clusterDocument)
 		time.Sleep(500 * time.Millisecond)
-		is.True(w.nodes[0].entry.members.Acked() <= outcome.Offset) // the entry may still route by its old view
+		is.True(w.nodes[0].entry.members.MinRoutedOffset() <= outcome.Offset) // the entry may still route by its old view
 		time.Sleep(3 * viewLease)
-		is.True(w.nodes[0].entry.members.Acked() > outcome.Offset) // its view lease has expired
+		is.True(w.nodes[0].entry.members.MinRoutedOffset() > outcome.Offset) // its view lease has expired
 		// A later drain waits as well, although the entry has long been silent: it
 		// may hear other entries that have not applied the drain yet.
 		outcome = w.publish(0, clusterDocument)
 		time.Sleep(viewLease)
-		is.True(w.nodes[0].entry.members.Acked() <= outcome.Offset)
+		is.True(w.nodes[0].entry.members.MinRoutedOffset() <= outcome.Offset)
 		time.Sleep(2 * viewLease)
-		is.True(w.nodes[0].entry.members.Acked() > outcome.Offset)
+		is.True(w.nodes[0].entry.members.MinRoutedOffset() > outcome.Offset)
 	})
 }
 
@@ -357,8 +357,8 @@
 		slow.routedOffset = func() uint64 { return behind }
 		outcome := w.publish(0, clusterDocument)
 		w.settle()
-		is.True(w.nodes[0].entry.members.Acked() <= outcome.Offset)
-		is.Equal(w.nodes[0].entry.members.Acked(), behind)
+		is.True(w.nodes[0].entry.members.MinRoutedOffset() <= outcome.Offset)
+		is.Equal(w.nodes[0].entry.members.MinRoutedOffset(), behind)
 	})
 }
 
@@ -377,7 +377,7 @@
 		w.settle()
 		outcome := w.publish(5, clusterDocument)
 		time.Sleep(3 * viewLease)
-		is.True(w.nodes[5].entry.members.Acked() > outcome.Offset)
+		is.True(w.nodes[5].entry.members.MinRoutedOffset() > outcome.Offset)
 	})
 }
 
