--- a/jayentry/backend.go
+++ b/jayentry/backend.go
@@ -75,7 +75,7 @@
 // entries rely on that change. If the log is down for all entries, the majority is
 // still reachable and the entry keeps serving.
 func (e *Entry) viewUsable() bool {
-	return time.Since(e.router.FreshAt()) <= viewLease || e.members.Confirmed()
+	return time.Since(e.router.FreshAt()) <= viewLease || e.members.MajorityAgrees()
 }
 
 // View returns the view that requests are routed by, or a refusal if it is missing
--- a/jayentry/peers.go
+++ b/jayentry/peers.go
@@ -308,10 +308,10 @@
 	return m.majority(func(h peerHealth) time.Time { return h.heard })
 }
 
-// Confirmed reports whether, within the view lease, a majority was heard that was
+// MajorityAgrees reports whether, within the view lease, a majority was heard that was
 // not ahead of this entry's view. Hearing from peers alone is not enough: an entry
 // that resumes after a pause hears them at once, but its view is old.
-func (m *Membership) Confirmed() bool {
+func (m *Membership) MajorityAgrees() bool {
 	return m.majority(func(h peerHealth) time.Time { return h.confirmed })
 }
 
