--- a/jayentry/router.go
+++ b/jayentry/router.go
@@ -88,7 +88,7 @@
 	if v == nil {
 		return time.Time{}
 	}
-	offset, at := r.store.Fresh()
+	offset, at := r.store.Freshness()
 	if v.Offset < offset {
 		return v.FreshAt
 	}
@@ -186,7 +186,7 @@
 		States:      map[string]string{},
 		Connections: map[string]int{},
 	}
-	_, next.FreshAt = r.store.Fresh()
+	_, next.FreshAt = r.store.Freshness()
 	r.store.Read(func(s *jaystate.State) { r.fillView(next, s) })
 	if next.Config == nil {
 		return
--- a/jayentry/store.go
+++ b/jayentry/store.go
@@ -36,9 +36,9 @@
 	log       jayplatform.Log
 	logger    logr.Logger
 	committer *jaylog.Committer[*jaywire.Command, jaystate.Outcome]
-	// fresh is read for each request, without the lock, so that requests do not
+	// freshness is read for each request, without the lock, so that requests do not
 	// wait for a planning round.
-	fresh atomic.Pointer[freshness]
+	freshness atomic.Pointer[freshness]
 	// changed holds the rings that notify duties of a new offset.
 	changed []*jayring.Ring[uint64]
 
@@ -120,10 +120,10 @@
 	return s.state.Offset
 }
 
-// Fresh returns the state's offset and the time at which the log was last known to
+// Freshness returns the state's offset and the time at which the log was last known to
 // contain nothing newer.
-func (s *Store) Fresh() (offset uint64, at time.Time) {
-	f := s.fresh.Load()
+func (s *Store) Freshness() (offset uint64, at time.Time) {
+	f := s.freshness.Load()
 	if f == nil {
 		return 0, time.Time{}
 	}
@@ -172,13 +172,13 @@
 // current. The caller holds the lock.
 func (s *Store) updateFreshness(newest bool, at time.Time) {
 	next := &freshness{offset: s.state.Offset}
-	if before := s.fresh.Load(); before != nil {
+	if before := s.freshness.Load(); before != nil {
 		next.at = before.at
 	}
 	if newest {
 		next.at = at
 	}
-	s.fresh.Store(next)
+	s.freshness.Store(next)
 }
 
 func (s *Store) notifyAll(offset uint64) {
