--- a/jayjournal/delivery.go
+++ b/jayjournal/delivery.go
@@ -134,7 +134,7 @@
 		return true, o.err
 	case errors.As(o.err, &sequence):
 		return d.renumber(o.sequence, sequence)
-	case errors.Is(o.err, jayport.ErrNotDone):
+	case errors.Is(o.err, jayport.ErrRejected):
 		if j.failOnReject && !d.mayHaveTakenEffect && d.inFlight == 0 {
 			return true, o.err
 		}
--- a/jayjournal/journal.go
+++ b/jayjournal/journal.go
@@ -170,7 +170,7 @@
 		for _, e := range batch {
 			e.Done(err)
 		}
-		if err != nil && !errors.Is(err, jayport.ErrNotDone) {
+		if err != nil && !errors.Is(err, jayport.ErrRejected) {
 			return err
 		}
 	}
--- a/jayjournal/journal_test.go
+++ b/jayjournal/journal_test.go
@@ -42,7 +42,7 @@
 var (
 	lostAfterAppend  = answer{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer), done: true}
 	lostBeforeAppend = answer{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer)}
-	rejected         = answer{err: fmt.Errorf("%w: test", jayport.ErrNotDone)}
+	rejected         = answer{err: fmt.Errorf("%w: test", jayport.ErrRejected)}
 )
 
 func newStore(script ...answer) *scriptedStore {
@@ -122,7 +122,7 @@
 		{"response lost, append applied", []answer{lostAfterAppend}, nil, nil, []string{"a"}},
 		{"response lost, append not applied", []answer{lostBeforeAppend, lostAfterAppend, lostBeforeAppend}, nil, nil, []string{"a"}},
 		{"rejected, retried", []answer{rejected, rejected}, nil, nil, []string{"a"}},
-		{"rejected, reported as failed", []answer{rejected}, []Option{WithRefusals()}, jayport.ErrNotDone, nil},
+		{"rejected, reported as failed", []answer{rejected}, []Option{WithRefusals()}, jayport.ErrRejected, nil},
 		// The response to an append is lost and the retry is rejected. The
 		// rejection says nothing about the first attempt: a job that was
 		// reported as refused could run.
--- a/jaymember/fakes_test.go
+++ b/jaymember/fakes_test.go
@@ -41,7 +41,7 @@
 	end := int64(len(s.records[a.Partition]))
 	switch {
 	case s.refuse:
-		return jayport.Appended{}, fmt.Errorf("%w: test", jayport.ErrNotDone)
+		return jayport.Appended{}, fmt.Errorf("%w: test", jayport.ErrRejected)
 	case a.AsOf != jayport.AnyOffset && a.AsOf != end:
 		return jayport.Appended{}, &jayport.StaleError{End: end}
 	}
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refuse {
-		return jayport.Latest{}, fmt.Errorf("%w: test", jayport.ErrNotDone)
+		return jayport.Latest{}, fmt.Errorf("%w: test", jayport.ErrRejected)
 	}
 	latest := jayport.Latest{End: int64(len(s.records[p]))}
 	seen := map[string]bool{}
--- a/jaynode/fakes_test.go
+++ b/jaynode/fakes_test.go
@@ -135,7 +135,7 @@
 	unreachable, loseAnswers, refuse, requestDelay, answerDelay := w.faults()
 	switch {
 	case refuse:
-		return none, fmt.Errorf("%w: test", jayport.ErrNotDone)
+		return none, fmt.Errorf("%w: test", jayport.ErrRejected)
 	case unreachable:
 		time.Sleep(timeout)
 		return none, errUnreachable
@@ -161,7 +161,7 @@
 		refused = w.refuseTopic == a.Partition.Topic
 	})
 	if refused {
-		return jayport.Appended{}, fmt.Errorf("%w: test", jayport.ErrNotDone)
+		return jayport.Appended{}, fmt.Errorf("%w: test", jayport.ErrRejected)
 	}
 	return call(w, timeout, func() (jayport.Appended, error) { return w.store.append(a) })
 }
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -111,7 +111,7 @@
 func (i *intake) storeAtOwner(pool, id string, value []byte, deadline, outageWait time.Duration) (final bool, err error) {
 	c, owned := i.node.members.Owners.OwnerOf(jayowner.PoolDuty(pool))
 	if !owned {
-		return false, jayport.ErrNotDone
+		return false, jayport.ErrRejected
 	}
 	if c.Incarnation == i.node.incarnation {
 		return true, i.store(pool, id, value, deadline, outageWait)
@@ -119,7 +119,7 @@
 	if i.node.members.Liveness.Suspects(c.Incarnation) {
 		// A request to an owner that does not answer pings would block the caller until
 		// the request times out. The job can be stored without the owner.
-		return false, jayport.ErrNotDone
+		return false, jayport.ErrRejected
 	}
 	// The rest of the deadline is left for an append by this entry.
 	timeout := min(deadline*ownerShare/100, storeJobTimeout)
@@ -127,7 +127,7 @@
 	response, err := i.askOwner(c, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_StoreJob{StoreJob: request}})
 	switch {
 	case errors.Is(err, jaypeer.ErrGone):
-		return false, jayport.ErrNotDone
+		return false, jayport.ErrRejected
 	case err != nil:
 		return false, jayport.ErrNoAnswer
 	}
@@ -194,7 +194,7 @@
 		if err == nil {
 			i.node.declareStored(pool, id, value)
 		}
-		if !errors.Is(err, jayport.ErrNotDone) || i.node.clock()+rejectedRetryDelay >= waitUntil {
+		if !errors.Is(err, jayport.ErrRejected) || i.node.clock()+rejectedRetryDelay >= waitUntil {
 			return err
 		}
 		time.Sleep(rejectedRetryDelay)
@@ -215,12 +215,12 @@
 func (i *intake) append(pool, id string, value []byte, timeout, waitUntil time.Duration) error {
 	journal := i.journals[i.node.partitionOf(pool)]
 	if i.stuck(journal) && i.node.clock() >= waitUntil {
-		return jayport.ErrNotDone
+		return jayport.ErrRejected
 	}
 	answered := make(chan error, 1)
 	entry := jayjournal.NewEntry([]jayport.Record{{Key: jobKey(pool, id), Value: value}}, func(err error) { answered <- err })
 	if journal.Add(entry) != nil {
-		return jayport.ErrNotDone
+		return jayport.ErrRejected
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -229,7 +229,7 @@
 	for {
 		select {
 		case err := <-answered:
-			if err == nil || errors.Is(err, jayport.ErrNotDone) || errors.Is(err, jayport.ErrMalformed) {
+			if err == nil || errors.Is(err, jayport.ErrRejected) || errors.Is(err, jayport.ErrMalformed) {
 				return err
 			}
 			return jayport.ErrNoAnswer
@@ -237,11 +237,11 @@
 			// A job behind a stuck append is rejected once it cannot be done in time any
 			// more, instead of keeping its caller waiting.
 			if i.stuck(journal) && i.node.clock() >= waitUntil && entry.Withdraw() {
-				return jayport.ErrNotDone
+				return jayport.ErrRejected
 			}
 		case <-timer.C:
 			if entry.Withdraw() {
-				return jayport.ErrNotDone
+				return jayport.ErrRejected
 			}
 			return jayport.ErrNoAnswer
 		}
@@ -293,7 +293,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, jayport.ErrNotDone), errors.Is(err, jayport.ErrMalformed):
+	case errors.Is(err, jayport.ErrRejected), errors.Is(err, jayport.ErrMalformed):
 		return jayverdict.NewNotRun(statusUnavailable, "the store does not take the job", retryAfter(i.node.store.LostFor()))
 	default:
 		return jayverdict.NewMayHaveRun(statusTimeout, "the job may be stored", err)
--- a/jaynode/intake_test.go
+++ b/jaynode/intake_test.go
@@ -44,7 +44,7 @@
 	n.members.Liveness.RecordOutcome("e2-x", jaypeer.ErrGone)
 	began := time.Now()
 	final, outcome := n.intake.storeAtOwner("seats", "j", nil, 3*time.Second, time.Second)
-	is.True(errors.Is(outcome, jayport.ErrNotDone))
+	is.True(errors.Is(outcome, jayport.ErrRejected))
 	is.True(!final) // the entry stores the job itself
 	is.True(time.Since(began) < 100*time.Millisecond)
 }
--- a/jaynode/meters.go
+++ b/jaynode/meters.go
@@ -26,7 +26,7 @@
 		return "ok"
 	case errors.Is(err, jayport.ErrNoAnswer):
 		return "noAnswer"
-	case errors.Is(err, jayport.ErrNotDone):
+	case errors.Is(err, jayport.ErrRejected):
 		return "rejected"
 	default:
 		return "refused"
--- a/jaynode/relaypeers.go
+++ b/jaynode/relaypeers.go
@@ -41,7 +41,7 @@
 	if errors.Is(err, jaypeer.ErrGone) {
 		// No process of this incarnation listens at the address, so the call was not
 		// made.
-		return nil, fmt.Errorf("%w: %w", jayport.ErrNotDone, err)
+		return nil, fmt.Errorf("%w: %w", jayport.ErrRejected, err)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", jayport.ErrNoAnswer, err)
--- a/jayport/store.go
+++ b/jayport/store.go
@@ -12,8 +12,8 @@
 	// ErrNoAnswer means that there was no valid response. The request may have taken
 	// effect, or may still do so.
 	ErrNoAnswer = errors.New("no answer")
-	// ErrNotDone means that the request was rejected and had no effect.
-	ErrNotDone = errors.New("rejected")
+	// ErrRejected means that the request was rejected and had no effect.
+	ErrRejected = errors.New("rejected")
 	// ErrMalformed means that the request was refused as invalid.
 	ErrMalformed = errors.New("refused as malformed")
 )
--- a/jayrelay/codec.go
+++ b/jayrelay/codec.go
@@ -120,7 +120,7 @@
 		return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_SEQUENCE, Number: sequence.Expected}
 	case errors.As(err, &expired):
 		return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_EXPIRED, Number: expired.First}
-	case errors.Is(err, jayport.ErrNotDone):
+	case errors.Is(err, jayport.ErrRejected):
 		return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_NOT_DONE}
 	case errors.Is(err, jayport.ErrMalformed):
 		return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_MALFORMED}
@@ -144,7 +144,7 @@
 	case jaywire.StoreOutcome_STORE_OUTCOME_EXPIRED:
 		return &jayport.ExpiredError{First: result.Number}
 	case jaywire.StoreOutcome_STORE_OUTCOME_NOT_DONE:
-		return jayport.ErrNotDone
+		return jayport.ErrRejected
 	case jaywire.StoreOutcome_STORE_OUTCOME_MALFORMED:
 		return jayport.ErrMalformed
 	default:
--- a/jayrelay/relay.go
+++ b/jayrelay/relay.go
@@ -199,7 +199,7 @@
 		}
 	}
 	if err == nil {
-		err = jayport.ErrNotDone
+		err = jayport.ErrRejected
 	}
 	return none, err
 }
@@ -216,7 +216,7 @@
 // pathFailed reports whether an error means that the store was not reached or did not
 // serve the call, as opposed to an error of the call itself.
 func pathFailed(err error) bool {
-	return errors.Is(err, jayport.ErrNoAnswer) || errors.Is(err, jayport.ErrNotDone)
+	return errors.Is(err, jayport.ErrNoAnswer) || errors.Is(err, jayport.ErrRejected)
 }
 
 // recordDirectResult records the result of a direct call and returns true if the store
--- a/jayrelay/relay_test.go
+++ b/jayrelay/relay_test.go
@@ -85,7 +85,7 @@
 
 var (
 	errSilent = fmt.Errorf("%w: test", jayport.ErrNoAnswer)
-	errAway   = fmt.Errorf("%w: test", jayport.ErrNotDone)
+	errAway   = fmt.Errorf("%w: test", jayport.ErrRejected)
 )
 
 func newStore(direct *fakeStore, peers fakePeers) *Store {
@@ -183,13 +183,13 @@
 		is.Equal(peer.counted(), 1)
 		s = newStore(&fakeStore{err: errAway}, fakePeers{"p1": {err: errAway}})
 		_, err = s.Append(numbered(), time.Second)
-		is.True(errors.Is(err, jayport.ErrNotDone))
+		is.True(errors.Is(err, jayport.ErrRejected))
 	})
 }
 
 func TestErrorEncoding(t *testing.T) {
 	for _, want := range []error{
-		jayport.ErrNoAnswer, jayport.ErrNotDone, jayport.ErrMalformed,
+		jayport.ErrNoAnswer, jayport.ErrRejected, jayport.ErrMalformed,
 		&jayport.StaleError{End: 1}, &jayport.FencedError{}, &jayport.SequenceError{Expected: 2}, &jayport.ExpiredError{First: 3},
 	} {
 		t.Run(want.Error(), func(t *testing.T) {
--- a/jaytail/tail_test.go
+++ b/jaytail/tail_test.go
@@ -230,7 +230,7 @@
 		}
 		tail, got := newTail(m, Options{})
 		m.during = func() {
-			m.fail = jayport.ErrNotDone // after the first page
+			m.fail = jayport.ErrRejected // after the first page
 		}
 		is.True(tail.Step(0) != nil)
 		asOf := tail.loadStarted
@@ -275,7 +275,7 @@
 	}
 	t.Run("pauses for 0.2 s after a failed read", func(t *testing.T) {
 		m := newMemoryStore()
-		m.fail = jayport.ErrNotDone
+		m.fail = jayport.ErrRejected
 		is.New(t).Equal(reads(t, m, Options{}), 10)
 	})
 	t.Run("polls Needed every 20 ms", func(t *testing.T) {
