--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -245,7 +245,7 @@
 func (d *poolDuty) renewLease(a jaysched.RenewLease) {
 	asked := d.node.clock()
 	report, err := d.node.ports.Workers.Renew(a.To, a.Order, d.latency.ReportTimeout())
-	if errors.Is(err, jayport.ErrForeign) {
+	if errors.Is(err, jayport.ErrInvalidResponse) {
 		d.logger.Info("worker report cannot be decoded", "worker", a.To.ID, "error", err.Error())
 	}
 	d.post(func(now time.Duration) {
--- a/jayport/workers.go
+++ b/jayport/workers.go
@@ -235,9 +235,9 @@
 	return "worker refused: " + e.Reason.String()
 }
 
-// ErrForeign is returned together with ErrNoAnswer for a response that is not a valid
+// ErrInvalidResponse is returned together with ErrNoAnswer for a response that is not a valid
 // response of a worker.
-var ErrForeign = errors.New("foreign message")
+var ErrInvalidResponse = errors.New("foreign message")
 
 // Workers sends orders to workers. Every error is ErrNoAnswer or a *RefusedError. Start,
 // Stop and Throttle return the worker's clock. An order is only ever carried out by the
