--- a/jaynode/declarations.go
+++ b/jaynode/declarations.go
@@ -39,7 +39,7 @@
 
 // Apply processes an operator's record.
 func (d *declarations) Apply(r jayport.Record) {
-	declared, err := d.formats.Declared(r)
+	declared, err := d.formats.DecodeDeclaration(r)
 	if err != nil {
 		d.logger.Error(err, "declaration unreadable", "key", r.Key, "offset", r.Offset)
 		return
@@ -49,7 +49,7 @@
 		d.adopt(body.Catalog)
 	case jayport.WaveDeclared:
 		d.addWave(body.Wave)
-	case jayport.NothingDeclared:
+	case jayport.IgnoredRecord:
 	}
 }
 
--- a/jayport/formats.go
+++ b/jayport/formats.go
@@ -7,7 +7,7 @@
 )
 
 // Declared is the decoded content of an operator's record: CatalogDeclared, WaveDeclared or
-// NothingDeclared.
+// IgnoredRecord.
 type Declared interface {
 	isDeclared()
 }
@@ -22,12 +22,12 @@
 	Wave Wave
 }
 
-// NothingDeclared is a record that this program ignores.
-type NothingDeclared struct{}
+// IgnoredRecord is a record that this program ignores.
+type IgnoredRecord struct{}
 
 func (CatalogDeclared) isDeclared() {}
 func (WaveDeclared) isDeclared()    {}
-func (NothingDeclared) isDeclared() {}
+func (IgnoredRecord) isDeclared()   {}
 
 // Wave is a declared maintenance wave: each of its hosts is to be maintained.
 type Wave struct {
@@ -44,10 +44,10 @@
 // Formats decodes and encodes the records that the platform and its operators keep in the
 // store.
 type Formats interface {
-	// Declarations returns the partition of the operators' records, which Declared
+	// Declarations returns the partition of the operators' records, which DecodeDeclaration
 	// decodes.
 	Declarations() Partition
-	Declared(r Record) (Declared, error)
+	DecodeDeclaration(r Record) (Declared, error)
 	// Reports returns the partition of the workers' heartbeats, which Reported decodes.
 	// A record without a value means that the worker with this key has left.
 	Reports() Partition
