--- a/jaynode/reports.go
+++ b/jaynode/reports.go
@@ -73,7 +73,7 @@
 		delete(r.unreadable, record.Key)
 		return
 	}
-	w, err := r.formats.Reported(record)
+	w, err := r.formats.DecodeHeartbeat(record)
 	if err != nil {
 		// The report does not name a worker that can be used. A worker that was in use is
 		// handled as one that has left: its runs are still tracked.
--- a/jaynode/stored_test.go
+++ b/jaynode/stored_test.go
@@ -98,8 +98,8 @@
 // reportFormats fails to read reports with the value "bad".
 type reportFormats struct{ testFormats }
 
-// Reported reads a report; its value is the worker's pool.
-func (reportFormats) Reported(r jayport.Record) (jayport.Worker, error) {
+// DecodeHeartbeat reads a heartbeat; its value is the worker's pool.
+func (reportFormats) DecodeHeartbeat(r jayport.Record) (jayport.Worker, error) {
 	if string(r.Value) == "bad" {
 		return jayport.Worker{}, errors.New("no worker")
 	}
--- a/jayport/formats.go
+++ b/jayport/formats.go
@@ -48,10 +48,10 @@
 	// decodes.
 	Declarations() Partition
 	DecodeDeclaration(r Record) (Declared, error)
-	// Reports returns the partition of the workers' heartbeats, which Reported decodes.
-	// A record without a value means that the worker with this key has left.
-	Reports() Partition
-	Reported(r Record) (Worker, error)
+	// Heartbeats returns the partition of the workers' heartbeats, which DecodeHeartbeat
+	// decodes. A record without a value means that the worker with this key has left.
+	Heartbeats() Partition
+	DecodeHeartbeat(r Record) (Worker, error)
 	// WaveStatus returns the record that tells operators whether a wave is done, and
 	// the partition that it belongs to.
 	WaveStatus(wave string, done bool) (Partition, Record)
