--- a/jaycli/serve_jobs.go
+++ b/jaycli/serve_jobs.go
@@ -36,8 +36,8 @@
 		return err
 	}
 	node := newNode(options, logger, metrics)
-	front := platform.NewFront(node)
-	if err := serveReadiness(options, front); err != nil {
+	api := platform.NewAPI(node)
+	if err := serveReadiness(options, api); err != nil {
 		return err
 	}
 	edge := jayedge.NewEdge(jayedge.Options{
@@ -47,7 +47,7 @@
 		MaxConns:        options.MaxCallerConns,
 		Idle:            time.Duration(options.CallerIdle),
 		Write:           time.Duration(options.RequestTimeout),
-	}, front.Handle, logger.WithName("edge"))
+	}, api.Handle, logger.WithName("edge"))
 	if err := edge.Start(); err != nil {
 		return err
 	}
@@ -86,12 +86,12 @@
 }
 
 // serveReadiness serves readiness checks to the load balancer.
-func serveReadiness(options *jayoptions.Options, front *platform.Front) error {
+func serveReadiness(options *jayoptions.Options, api *platform.API) error {
 	listener, err := net.Listen("tcp4", options.JobService.ReadyAddr)
 	if err != nil {
 		return fmt.Errorf("listen for readiness checks: %w", err)
 	}
-	server := &fasthttp.Server{Handler: front.Ready, NoDefaultServerHeader: true, IdleTimeout: time.Duration(options.CallerIdle)}
+	server := &fasthttp.Server{Handler: api.Ready, NoDefaultServerHeader: true, IdleTimeout: time.Duration(options.CallerIdle)}
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
