--- a/jaycli/standin_jobs.go
+++ b/jaycli/standin_jobs.go
@@ -69,8 +69,8 @@
 	printLine(c, "inventory: %s", platform.InventoryAddr)
 	printLine(c, "queues: %s of the host localhost", "/"+strings.Join(pools, "/ /")+"/")
 	resizePeriodically(ctx, platform, c.Duration("resize-every"), c.Int("room"), int(c.Float("resize-to")*float64(c.Int("room"))))
-	for _, broken := range platform.Judge.Broken() {
-		printLine(c, "broken: %s: %s", broken.Rule, broken.Text)
+	for _, violation := range platform.Checker.Violations() {
+		printLine(c, "broken: %s: %s", violation.Rule, violation.Text)
 	}
 	return nil
 }
--- a/jaysoak/callers_test.go
+++ b/jaysoak/callers_test.go
@@ -103,7 +103,7 @@
 func (c *callers) crashedWorkers() int {
 	count := 0
 	for _, j := range c.jobs {
-		count += c.soak.platform.Judge.Crashes(j.id)
+		count += c.soak.platform.Checker.Crashes(j.id)
 	}
 	return count
 }
@@ -167,7 +167,7 @@
 	if answer.State == "failed" && !j.crashes || answer.State == "canceled" && !j.cancelled {
 		c.soak.fail("lost", j.id+" is shown as "+answer.State+" without cause")
 	}
-	if finished := c.soak.platform.Judge.Finished(j.id); answer.State == "done" && finished < j.tasks {
+	if finished := c.soak.platform.Checker.Finished(j.id); answer.State == "done" && finished < j.tasks {
 		c.soak.fail("mixed", fmt.Sprintf("%s is shown as done, %d of its %d tasks have ended so", j.id, finished, j.tasks))
 	}
 	j.state = answer.State
@@ -181,7 +181,7 @@
 	for _, j := range c.jobs {
 		if j.refused {
 			refused++
-			if c.soak.platform.Judge.Begun(j.id) {
+			if c.soak.platform.Checker.Begun(j.id) {
 				c.soak.fail("refused", j.id+" was rejected at every try and has run")
 			}
 			continue
--- a/jaysoak/soak_test.go
+++ b/jaysoak/soak_test.go
@@ -210,8 +210,8 @@
 	calls.Wait()
 	s.faults.Wait()
 	accepted, refused := c.awaitEnds(finishTime, r)
-	for _, p := range s.platform.Judge.Broken() {
-		s.fail(p.Rule, p.Text)
+	for _, v := range s.platform.Checker.Violations() {
+		s.fail(v.Rule, v.Text)
 	}
 	t.Logf("%d jobs, %d accepted, %d rejected, %d workers crashed by jobs", number, accepted, refused, c.crashedWorkers())
 	if accepted == 0 {
