--- a/jayjournal/journal.go
+++ b/jayjournal/journal.go
@@ -37,7 +37,7 @@
 type Entry struct {
 	Records []jayport.Record
 	// Done is called once: with nil when the records are stored, with
-	// jayport.ErrNotDone if the entry has no effect, and with a
+	// jayport.ErrRejected if the entry has no effect, and with a
 	// *jayport.FencedError if another producer has taken over.
 	Done func(error)
 
@@ -86,7 +86,7 @@
 // Option configures a journal.
 type Option func(*Journal)
 
-// WithRefusals makes the journal report jayport.ErrNotDone for an append once the
+// WithRefusals makes the journal report jayport.ErrRejected for an append once the
 // store has certainly rejected every attempt, instead of retrying it.
 func WithRefusals() Option {
 	return func(j *Journal) { j.failOnReject = true }
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -101,7 +101,7 @@
 	return i.submitError(own)
 }
 
-// storeAtOwner asks the owner of a pool to store a job. Its errors are jayport.ErrNotDone
+// storeAtOwner asks the owner of a pool to store a job. Its errors are jayport.ErrRejected
 // and jayport.ErrNoAnswer.
 //
 // The outcome is final if this entry should not append the job itself. An owner that can
@@ -174,7 +174,7 @@
 
 // store appends a job and passes it to the pool's duty, if this entry owns the pool.
 // While the store accepts no jobs, it retries for as long as the job may wait. Its errors
-// are jayport.ErrNotDone and jayport.ErrNoAnswer.
+// are jayport.ErrRejected and jayport.ErrNoAnswer.
 //
 // The owner also reads all jobs from the store, but a read can be blocked while appends
 // go on. Jobs that were accepted would then start only after that read had timed out.
--- a/jayport/inventory.go
+++ b/jayport/inventory.go
@@ -100,7 +100,7 @@
 }
 
 // Inventory lists the fleet's instances and moves and maintains them. Its
-// errors are ErrNoAnswer, ErrNotDone and *HostError.
+// errors are ErrNoAnswer, ErrRejected and *HostError.
 type Inventory interface {
 	Hosts(timeout time.Duration) ([]Host, error)
 	// Move ends all runs on a host immediately and moves it to another pool.
--- a/jayport/store.go
+++ b/jayport/store.go
@@ -140,11 +140,11 @@
 
 // Store is the platform's durable store of keyed records.
 type Store interface {
-	// Append appends records to a partition. Its errors are ErrNoAnswer, ErrNotDone,
+	// Append appends records to a partition. Its errors are ErrNoAnswer, ErrRejected,
 	// ErrMalformed, StaleError, FencedError and SequenceError.
 	Append(a Append, timeout time.Duration) (Appended, error)
 	// Read returns the records from an offset on. If there are none yet, it waits for up
-	// to wait for the first one. Its errors are ErrNoAnswer, ErrNotDone and ExpiredError.
+	// to wait for the first one. Its errors are ErrNoAnswer, ErrRejected and ExpiredError.
 	Read(p Partition, from int64, wait, timeout time.Duration) (Page, error)
 	// Latest returns a page of the newest records of the keys that sort after the given
 	// one.
