--- a/jaycli/standin_jobs.go
+++ b/jaycli/standin_jobs.go
@@ -49,7 +49,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	defer platform.Close()
-	platform.StopTime, platform.AwayTime, platform.RebootTime = c.Duration("stop"), c.Duration("move"), c.Duration("reboot")
+	platform.StopTime, platform.DownTime, platform.RebootTime = c.Duration("stop"), c.Duration("move"), c.Duration("reboot")
 	platform.UnguardedPools = map[string]bool{}
 	for _, pool := range c.StringSlice("unguarded") {
 		platform.UnguardedPools[pool] = true
