--- a/jayapi/plan.go
+++ b/jayapi/plan.go
@@ -51,14 +51,14 @@
 	for _, name := range pools {
 		view.Pools = append(view.Pools, planPool(config, name, now, rules))
 	}
-	run := jaywave.Play(view, jaywave.Packed{Slack: true})
+	result := jaywave.Simulate(view, jaywave.Packed{Slack: true})
 	plan := &Plan{
-		RollOutMillis:    run.RollOut.Milliseconds(),
+		RollOutMillis:    result.RollOut.Milliseconds(),
 		LowerBoundMillis: jaywave.LowerBound(view).Milliseconds(),
-		BufferCost:       run.BufferCost,
-		Stuck:            run.Stuck,
+		BufferCost:       result.BufferCost,
+		Stuck:            result.Stuck,
 	}
-	for _, started := range run.Steps {
+	for _, started := range result.Steps {
 		i, _ := fleet.Instance(started.Instance)
 		plan.Steps = append(plan.Steps, PlanStep{
 			AtMillis: started.At.Milliseconds(), Instance: started.Instance, Pool: i.Pool, Rule: rules[i.Pool],
--- a/jaywave/example_test.go
+++ b/jaywave/example_test.go
@@ -8,7 +8,7 @@
 	"jaythread/jaywave"
 )
 
-func ExamplePlay() {
+func ExampleSimulate() {
 	fleet := jaypool.NewFleet()
 	for n := range 6 {
 		_ = fleet.Attach(jaypool.Instance{ID: fmt.Sprint("seats-", n), Pool: "seats", Rack: fmt.Sprint(n)}, 0)
@@ -20,7 +20,7 @@
 		StepTime: 10 * time.Minute,
 	}
 	bound := jaywave.LowerBound(view)
-	run := jaywave.Play(view, jaywave.Packed{Slack: true})
-	fmt.Println(len(run.Steps), run.RollOut, bound)
+	result := jaywave.Simulate(view, jaywave.Packed{Slack: true})
+	fmt.Println(len(result.Steps), result.RollOut, bound)
 	// Output: 6 30m0s 30m0s
 }
--- a/jaywave/play.go
+++ b/jaywave/simulate.go
@@ -17,15 +17,15 @@
 	Until    time.Duration
 }
 
-// Started is a step of a simulated wave.
-type Started struct {
+// StartedStep is a step of a simulated wave.
+type StartedStep struct {
 	Instance string
 	At       time.Duration
 }
 
-// Run is the result of a simulated wave.
-type Run struct {
-	Steps    []Started
+// SimulationResult is the result of a simulated wave.
+type SimulationResult struct {
+	Steps    []StartedStep
 	RollOut  time.Duration
 	Breaches int
 	// BufferCost is the ratio of spare to needed available instances, weighted by time.
@@ -40,10 +40,10 @@
 	MostMoves int
 }
 
-// Play simulates a wave with the given failures, in which each step takes the view's
+// Simulate simulates a wave with the given failures, in which each step takes the view's
 // StepTime. It modifies the view's fleet. It is used for dry runs and comparisons and has
 // no effect on real instances.
-func Play(v View, p Policy, failures ...Failure) Run {
+func Simulate(v View, p Policy, failures ...Failure) SimulationResult {
 	g := &simulation{view: v, policy: p, ends: map[string]time.Duration{}, taskMoves: map[string]int{}}
 	g.view.Busy = maps.Clone(v.Busy)
 	for id := range g.view.Busy {
@@ -57,7 +57,7 @@
 	for g.step() {
 	}
 	g.finish()
-	return g.run
+	return g.result
 }
 
 type event struct {
@@ -72,7 +72,7 @@
 	now    time.Duration
 	ends   map[string]time.Duration
 	events []event
-	run    Run
+	result SimulationResult
 	spare  time.Duration
 	needed time.Duration
 	// tasks holds the instance of each task; taskMoves counts the moves of each task.
@@ -83,7 +83,7 @@
 // step starts the permitted steps and advances to the next event. It returns false if no
 // event is left.
 func (g *simulation) step() bool {
-	g.run.Rounds++
+	g.result.Rounds++
 	for _, id := range Next(g.view, g.policy) {
 		i, _ := g.view.Fleet.Instance(id)
 		if err := g.view.Fleet.BeginDrain(id, i.Version, g.budget(i.Pool)); err != nil {
@@ -91,7 +91,7 @@
 		}
 		g.moveTask(id)
 		g.ends[id] = g.now + g.view.StepTime
-		g.run.Steps = append(g.run.Steps, Started{Instance: id, At: g.now})
+		g.result.Steps = append(g.result.Steps, StartedStep{Instance: id, At: g.now})
 	}
 	next, ok := g.nextEventTime()
 	if !ok {
@@ -123,8 +123,8 @@
 		g.tasks[n] = target
 		task := fmt.Sprint("task ", n)
 		g.taskMoves[task]++
-		g.run.TaskMoves++
-		g.run.MostMoves = max(g.run.MostMoves, g.taskMoves[task])
+		g.result.TaskMoves++
+		g.result.MostMoves = max(g.result.MostMoves, g.taskMoves[task])
 	}
 }
 
@@ -178,7 +178,7 @@
 		i, _ := g.view.Fleet.Instance(id)
 		i.MaintainedIn = g.view.Wave
 		_ = g.view.Fleet.Advance(id, i.Version, jaypool.Draining, jaypool.Serving)
-		g.run.RollOut = g.now
+		g.result.RollOut = g.now
 	}
 }
 
@@ -190,7 +190,7 @@
 	}
 	for _, p := range g.view.Pools {
 		if !g.view.Fleet.Pool(p.Name).BudgetStatus(p.Budget).Holds() {
-			g.run.Breaches++
+			g.result.Breaches++
 		}
 	}
 }
@@ -205,13 +205,13 @@
 
 func (g *simulation) finish() {
 	if g.needed > 0 {
-		g.run.BufferCost = float64(g.spare) / float64(g.needed)
+		g.result.BufferCost = float64(g.spare) / float64(g.needed)
 	}
 	for _, id := range g.view.Fleet.IDs() {
 		i, _ := g.view.Fleet.Instance(id)
 		for _, p := range g.view.Pools {
 			if p.Name == i.Pool && i.MaintainedIn != g.view.Wave {
-				g.run.Stuck = append(g.run.Stuck, id)
+				g.result.Stuck = append(g.result.Stuck, id)
 			}
 		}
 	}
--- a/jaywave/wave_test.go
+++ b/jaywave/wave_test.go
@@ -93,10 +93,10 @@
 			t.Run(s.name+" "+p.name, func(t *testing.T) {
 				is := is.New(t)
 				v := s.view()
-				run := Play(v, p.policy, s.rackFailure(v)...)
-				is.Equal(run.Breaches, 0)
-				is.Equal(run.Stuck, nil)
-				is.Equal(len(run.Steps), s.workers)
+				result := Simulate(v, p.policy, s.rackFailure(v)...)
+				is.Equal(result.Breaches, 0)
+				is.Equal(result.Stuck, nil)
+				is.Equal(len(result.Steps), s.workers)
 			})
 		}
 	}
@@ -107,10 +107,10 @@
 		t.Run(s.name, func(t *testing.T) {
 			is := is.New(t)
 			bound := LowerBound(s.view())
-			run := Play(s.view(), Packed{Slack: true})
-			is.True(run.RollOut >= bound)
-			is.True(float64(run.RollOut) <= 1.3*float64(bound))
-			is.True(run.MostMoves <= 1)
+			result := Simulate(s.view(), Packed{Slack: true})
+			is.True(result.RollOut >= bound)
+			is.True(float64(result.RollOut) <= 1.3*float64(bound))
+			is.True(result.MostMoves <= 1)
 		})
 	}
 }
@@ -136,8 +136,8 @@
 		v := sizes[0].view()
 		id := v.Fleet.IDs()[0]
 		is.NoErr(v.Fleet.SetFailed(id, true))
-		run := Play(v, Packed{})
-		is.Equal(run.Stuck, []string{id})
+		result := Simulate(v, Packed{})
+		is.Equal(result.Stuck, []string{id})
 	})
 }
 
@@ -176,18 +176,18 @@
 				continue // 5,600 sequential steps show nothing beyond 560
 			}
 			b.Run(s.name+"/"+p.name, func(b *testing.B) {
-				var run Run
+				var result SimulationResult
 				for b.Loop() {
-					run = Play(s.view(), p.policy, s.rackFailure(s.view())...)
+					result = Simulate(s.view(), p.policy, s.rackFailure(s.view())...)
 				}
 				bound := LowerBound(s.view())
-				b.ReportMetric(run.RollOut.Minutes(), "rollOutMinutes")
-				b.ReportMetric(float64(run.RollOut)/float64(bound), "timesBound")
-				b.ReportMetric(float64(run.TaskMoves), "taskMoves")
-				b.ReportMetric(float64(run.MostMoves), "mostMovesOfOne")
-				b.ReportMetric(float64(run.Breaches), "breaches")
-				b.ReportMetric(float64(len(run.Stuck)), "stuck")
-				b.ReportMetric(run.BufferCost, "bufferCost")
+				b.ReportMetric(result.RollOut.Minutes(), "rollOutMinutes")
+				b.ReportMetric(float64(result.RollOut)/float64(bound), "timesBound")
+				b.ReportMetric(float64(result.TaskMoves), "taskMoves")
+				b.ReportMetric(float64(result.MostMoves), "mostMovesOfOne")
+				b.ReportMetric(float64(result.Breaches), "breaches")
+				b.ReportMetric(float64(len(result.Stuck)), "stuck")
+				b.ReportMetric(result.BufferCost, "bufferCost")
 			})
 		}
 	}
