--- a/jayjob/learn.go
+++ b/jayjob/learn.go
@@ -20,10 +20,10 @@
 	MemoryMegabytes int64
 }
 
-// Learn returns the size to be used for placing tasks of a job: the largest reported use
+// EstimateNeed returns the size to be used for placing tasks of a job: the largest reported use
 // with headroom, or the declared size while there are too few reports. Accelerators are
 // always as declared, because they are allocated whole.
-func Learn(declared jaypool.Resources, reports []Usage) jaypool.Resources {
+func EstimateNeed(declared jaypool.Resources, reports []Usage) jaypool.Resources {
 	if len(reports) < minReports {
 		return declared
 	}
--- a/jayjob/placement.go
+++ b/jayjob/placement.go
@@ -31,7 +31,7 @@
 	Pool     string
 	Team     string
 	Priority jayrule.Priority
-	// Need is the size of one task, learned from usage or, before enough usage is
+	// Need is the size of one task, estimated from usage or, before enough usage is
 	// reported, as declared.
 	Need jaypool.Resources
 	// DataCenters is the list of permitted data centres; empty permits all.
--- a/jayjob/placement_test.go
+++ b/jayjob/placement_test.go
@@ -181,9 +181,9 @@
 func TestLearn(t *testing.T) {
 	is := is.New(t)
 	declared := jaypool.Resources{ProcessorsMilli: 8000, MemoryMegabytes: 64000, Accelerators: 1}
-	is.Equal(Learn(declared, []Usage{{ProcessorsMilli: 1000, MemoryMegabytes: 1000}}), declared)
-	learned := Learn(declared, []Usage{{ProcessorsMilli: 1000, MemoryMegabytes: 1000}, {ProcessorsMilli: 500, MemoryMegabytes: 2000}})
-	is.Equal(learned, jaypool.Resources{ProcessorsMilli: 1200, MemoryMegabytes: 2400, Accelerators: 1})
+	is.Equal(EstimateNeed(declared, []Usage{{ProcessorsMilli: 1000, MemoryMegabytes: 1000}}), declared)
+	need := EstimateNeed(declared, []Usage{{ProcessorsMilli: 1000, MemoryMegabytes: 1000}, {ProcessorsMilli: 500, MemoryMegabytes: 2000}})
+	is.Equal(need, jaypool.Resources{ProcessorsMilli: 1200, MemoryMegabytes: 2400, Accelerators: 1})
 }
 
 // BenchmarkCapacityPlace measures a placement round by fleet size, with two placed tasks
--- a/jayplan/tasks.go
+++ b/jayplan/tasks.go
@@ -160,7 +160,7 @@
 			Pool:     j.Pool,
 			Team:     j.Team,
 			Priority: priority,
-			Need:     jayjob.Learn(j.Need(), usage[j.Name]),
+			Need:     jayjob.EstimateNeed(j.Need(), usage[j.Name]),
 			Parked:   parked,
 		}
 		if place, ok := r.placeRule(j.Pool, j.Team, priority); ok {
