--- a/jayentry/planner.go
+++ b/jayentry/planner.go
@@ -75,7 +75,7 @@
 		return 0
 	}
 	d.removeEnded()
-	in := jayplan.Input{Workers: d.entry.router.Workers(), Now: time.Now(), Acked: d.entry.members.MinRoutedOffset()}
+	in := jayplan.Input{Workers: d.entry.router.Workers(), Now: time.Now(), MinAppliedOffset: d.entry.members.MinRoutedOffset()}
 	var out jayplan.Output
 	began := time.Now()
 	d.entry.store.Read(func(s *jaystate.State) {
--- a/jayplan/instances.go
+++ b/jayplan/instances.go
@@ -108,7 +108,7 @@
 // have applied the drain, no request is in flight and no task is placed.
 func (r *round) drained(id string, fence uint64) bool {
 	worker, listed := r.in.Workers[id]
-	if !listed || r.in.Acked <= fence || r.busy[id] {
+	if !listed || r.in.MinAppliedOffset <= fence || r.busy[id] {
 		return false
 	}
 	if worker.State == jayplatform.Down || worker.State == jayplatform.Gone {
--- a/jayplan/plan.go
+++ b/jayplan/plan.go
@@ -34,9 +34,9 @@
 	// Workers is the instance list by instance ID.
 	Workers map[string]jayplatform.Instance
 	Now     time.Time
-	// Acked is the lowest offset that all entries that may still route have applied. An
+	// MinAppliedOffset is the lowest offset that all entries that may still route have applied. An
 	// instance whose drain has a lower offset gets no new work.
-	Acked uint64
+	MinAppliedOffset uint64
 }
 
 // Order is an order to the platform for one instance.
--- a/jayplan/planner_test.go
+++ b/jayplan/planner_test.go
@@ -68,7 +68,7 @@
 			s, list := largeState(b, workers)
 			p := jayplan.NewPlanner(settings)
 			for b.Loop() {
-				p.Round(jayplan.Input{State: s, Workers: list, Now: sessionStart, Acked: s.Offset})
+				p.Round(jayplan.Input{State: s, Workers: list, Now: sessionStart, MinAppliedOffset: s.Offset})
 			}
 		})
 	}
--- a/jayplan/session_platform_test.go
+++ b/jayplan/session_platform_test.go
@@ -17,10 +17,10 @@
 	s.now += tick
 	s.boot()
 	out := s.planner.Round(jayplan.Input{
-		State:   s.state,
-		Workers: s.listed(),
-		Now:     sessionStart.Add(s.now),
-		Acked:   s.state.Offset,
+		State:            s.state,
+		Workers:          s.listed(),
+		Now:              sessionStart.Add(s.now),
+		MinAppliedOffset: s.state.Offset,
 	})
 	if !s.logDown {
 		for _, c := range out.Commands {
