--- a/jayserve/exchange.go
+++ b/jayserve/exchange.go
@@ -18,7 +18,7 @@
 // serve answers the request. A returned error is of type *jayverdict.Error and
 // states whether the request may have run.
 func (x *exchange) serve() error {
-	idempotencyKey := x.ctx.Request.Header.Peek(HeaderKey)
+	idempotencyKey := x.ctx.Request.Header.Peek(HeaderIdempotencyKey)
 	if x.route.Idempotent || len(idempotencyKey) == 0 {
 		_, err := x.attempts(nil)
 		return err
--- a/jayserve/server.go
+++ b/jayserve/server.go
@@ -20,8 +20,8 @@
 
 // These are the names of request headers.
 const (
-	HeaderKey  = "Idempotency-Key"
-	HeaderPool = "Jaythread-Pool"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderPool           = "Jaythread-Pool"
 	// HeaderPriority is the priority that a caller requests. Rules may use it.
 	HeaderPriority = "Jaythread-Priority"
 )
