--- a/jayserve/exchange.go
+++ b/jayserve/exchange.go
@@ -170,10 +170,10 @@
 	req := requests.Get().(*fasthttp.Request)
 	x.fillRequest(req)
 	result, err := x.server.client.Do(jayupstream.Attempt{
-		Addr:        lease.Upstream.Addr,
-		Connections: x.view.Connections[x.route.Pool],
-		Fresh:       !x.route.Idempotent,
-		Timeout:     timeout,
+		Addr:          lease.Upstream.Addr,
+		Connections:   x.view.Connections[x.route.Pool],
+		NewConnection: !x.route.Idempotent,
+		Timeout:       timeout,
 	}, req)
 	if err == nil {
 		req.Reset()
--- a/jayupstream/client.go
+++ b/jayupstream/client.go
@@ -91,11 +91,11 @@
 	Addr string
 	// Connections is this entry's share of the connections to the upstream.
 	Connections int
-	// Fresh requests a new connection that is closed after this request. It is set
+	// NewConnection requests a new connection that is closed after this request. It is set
 	// for requests that must run at most once, so that they do not depend on the
 	// state of an idle connection.
-	Fresh   bool
-	Timeout time.Duration
+	NewConnection bool
+	Timeout       time.Duration
 }
 
 // Do sends the request once. A returned error is of type *jayverdict.Error. The
@@ -103,7 +103,7 @@
 func (c *Client) Do(a Attempt, req *fasthttp.Request) (*Result, error) {
 	resp := responses.Get().(*fasthttp.Response)
 	resp.StreamBody = true
-	if a.Fresh {
+	if a.NewConnection {
 		req.SetConnectionClose()
 	}
 	err := c.host(a).DoTimeout(req, resp, a.Timeout)
--- a/jayupstream/client_test.go
+++ b/jayupstream/client_test.go
@@ -262,8 +262,8 @@
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
 	var first, second string
-	u.call(c, "/", Attempt{Fresh: true}, func(r *request) { first = r.conn.RemoteAddr().String(); r.write(ok) })
-	u.call(c, "/", Attempt{Fresh: true}, func(r *request) { second = r.conn.RemoteAddr().String(); r.write(ok) })
+	u.call(c, "/", Attempt{NewConnection: true}, func(r *request) { first = r.conn.RemoteAddr().String(); r.write(ok) })
+	u.call(c, "/", Attempt{NewConnection: true}, func(r *request) { second = r.conn.RemoteAddr().String(); r.write(ok) })
 	is.True(first != second)
 }
 
