--- a/jayroute/pool.go
+++ b/jayroute/pool.go
@@ -10,8 +10,8 @@
 	"jaythread/jayverdict"
 )
 
-// Ticket is a request for a slot in a pool.
-type Ticket struct {
+// AcquireOptions describes a request for a slot in a pool.
+type AcquireOptions struct {
 	Caller   string
 	Priority jayrule.Priority
 	// Avoid lists the IDs of upstreams at which this request has already failed.
@@ -128,21 +128,21 @@
 
 // Acquire returns a lease, immediately or after waiting in the queue. An error
 // means that the request was refused and has not run.
-func (p *Pool) Acquire(t Ticket) (*Lease, error) {
+func (p *Pool) Acquire(o AcquireOptions) (*Lease, error) {
 	p.mu.Lock()
-	if !p.hasCandidate(t.Avoid) {
+	if !p.hasCandidate(o.Avoid) {
 		p.mu.Unlock()
 		return nil, jayverdict.NewNotRun(503, "no upstream in pool "+p.Name, time.Second)
 	}
-	if u := p.choose(t.Avoid); u != nil && p.queue.size == 0 {
+	if u := p.choose(o.Avoid); u != nil && p.queue.size == 0 {
 		lease := p.lease(u)
 		p.mu.Unlock()
 		return lease, nil
 	}
 	w := &waiter{
-		caller:   t.Caller,
-		priority: t.Priority,
-		avoid:    t.Avoid,
+		caller:   o.Caller,
+		priority: o.Priority,
+		avoid:    o.Avoid,
 		granted:  make(chan *Upstream, 1),
 		shed:     make(chan struct{}),
 	}
@@ -152,7 +152,7 @@
 	}
 	p.dispatch()
 	p.mu.Unlock()
-	return p.await(w, t.Wait)
+	return p.await(w, o.Wait)
 }
 
 // hasCandidate reports whether waiting can help, that is whether there is an
--- a/jayroute/pool_test.go
+++ b/jayroute/pool_test.go
@@ -53,7 +53,7 @@
 		var done sync.WaitGroup
 		for n := range 60 {
 			done.Go(func() {
-				lease, err := p.Acquire(Ticket{Caller: fmt.Sprint(n % 5), Wait: time.Minute})
+				lease, err := p.Acquire(AcquireOptions{Caller: fmt.Sprint(n % 5), Wait: time.Minute})
 				if err != nil {
 					t.Error(err)
 					return
@@ -77,10 +77,10 @@
 
 // acquireLater requests a lease in the background, waits until the request is
 // queued, and returns the channel that receives its error.
-func acquireLater(p *Pool, t Ticket) <-chan error {
+func acquireLater(p *Pool, o AcquireOptions) <-chan error {
 	outcome := make(chan error, 1)
 	go func() {
-		_, err := p.Acquire(t)
+		_, err := p.Acquire(o)
 		outcome <- err
 	}()
 	synctest.Wait()
@@ -92,13 +92,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 100)
-			held, err := p.Acquire(Ticket{})
+			held, err := p.Acquire(AcquireOptions{})
 			is.NoErr(err)
 			var mu sync.Mutex
 			var order []string
 			wait := func(caller string, priority jayrule.Priority) {
 				go func() {
-					lease, err := p.Acquire(Ticket{Caller: caller, Priority: priority, Wait: time.Minute})
+					lease, err := p.Acquire(AcquireOptions{Caller: caller, Priority: priority, Wait: time.Minute})
 					is.NoErr(err)
 					mu.Lock()
 					order = append(order, caller)
@@ -122,13 +122,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 2)
-			held, err := p.Acquire(Ticket{})
+			held, err := p.Acquire(AcquireOptions{})
 			is.NoErr(err)
-			browsing := acquireLater(p, Ticket{Caller: "a", Priority: jayrule.Low, Wait: time.Minute})
-			first := acquireLater(p, Ticket{Caller: "b", Priority: jayrule.Normal, Wait: time.Minute})
-			urgent := acquireLater(p, Ticket{Caller: "c", Priority: jayrule.Urgent, Wait: time.Minute})
+			browsing := acquireLater(p, AcquireOptions{Caller: "a", Priority: jayrule.Low, Wait: time.Minute})
+			first := acquireLater(p, AcquireOptions{Caller: "b", Priority: jayrule.Normal, Wait: time.Minute})
+			urgent := acquireLater(p, AcquireOptions{Caller: "c", Priority: jayrule.Urgent, Wait: time.Minute})
 			is.Equal(jayverdict.Of(<-browsing), jayverdict.NotRun)
-			_, err = p.Acquire(Ticket{Caller: "d", Priority: jayrule.Low, Wait: time.Minute})
+			_, err = p.Acquire(AcquireOptions{Caller: "d", Priority: jayrule.Low, Wait: time.Minute})
 			is.Equal(jayverdict.Of(err), jayverdict.NotRun)
 			held.Release(false)
 			is.NoErr(<-urgent)
@@ -140,10 +140,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 10)
-			_, err := p.Acquire(Ticket{})
+			_, err := p.Acquire(AcquireOptions{})
 			is.NoErr(err)
 			began := time.Now()
-			_, err = p.Acquire(Ticket{Wait: 300 * time.Millisecond})
+			_, err = p.Acquire(AcquireOptions{Wait: 300 * time.Millisecond})
 			is.Equal(jayverdict.Of(err), jayverdict.NotRun)
 			is.Equal(time.Since(began), 300*time.Millisecond)
 			is.Equal(p.Waiting(), 0)
@@ -153,9 +153,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p := newPool(1, 1, 10)
-			_, err := p.Acquire(Ticket{})
+			_, err := p.Acquire(AcquireOptions{})
 			is.NoErr(err)
-			waiting := acquireLater(p, Ticket{Wait: time.Minute})
+			waiting := acquireLater(p, AcquireOptions{Wait: time.Minute})
 			p.Update(targets(2, 1))
 			is.NoErr(<-waiting)
 		})
@@ -167,7 +167,7 @@
 	p := newPool(2, 8, 10)
 	p.SetLeaving("u0")
 	for range 8 {
-		lease, err := p.Acquire(Ticket{})
+		lease, err := p.Acquire(AcquireOptions{})
 		is.NoErr(err)
 		is.Equal(lease.Upstream.ID, "u1")
 	}
@@ -177,16 +177,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPool(2, 1, 10)
-		lease, err := p.Acquire(Ticket{Avoid: []string{"u0"}})
+		lease, err := p.Acquire(AcquireOptions{Avoid: []string{"u0"}})
 		is.NoErr(err)
 		is.Equal(lease.Upstream.ID, "u1")
-		_, err = p.Acquire(Ticket{Avoid: []string{"u0"}, Wait: time.Second})
+		_, err = p.Acquire(AcquireOptions{Avoid: []string{"u0"}, Wait: time.Second})
 		is.True(err != nil)
 		// Guards against a refusal that comes only after the whole wait: a request
 		// that has tried every upstream of its pool waits for a slot that it
 		// cannot use.
 		began := time.Now()
-		_, err = p.Acquire(Ticket{Avoid: []string{"u0", "u1"}, Wait: time.Second})
+		_, err = p.Acquire(AcquireOptions{Avoid: []string{"u0", "u1"}, Wait: time.Second})
 		is.True(err != nil)
 		is.Equal(time.Since(began), time.Duration(0))
 	})
@@ -199,7 +199,7 @@
 		p := newPool(4, 100, 10, WithNow(func() time.Time { return now }))
 		failed := 0
 		for range 100 {
-			lease, err := p.Acquire(Ticket{})
+			lease, err := p.Acquire(AcquireOptions{})
 			is.NoErr(err)
 			bad := lease.Upstream.ID == "u0"
 			if bad {
@@ -210,7 +210,7 @@
 		is.Equal(failed, ejectAfter)
 		now = now.Add(firstEjection)
 		for range 100 {
-			lease, err := p.Acquire(Ticket{Avoid: []string{"u1", "u2", "u3"}})
+			lease, err := p.Acquire(AcquireOptions{Avoid: []string{"u1", "u2", "u3"}})
 			is.NoErr(err)
 			lease.Release(false)
 		}
@@ -219,7 +219,7 @@
 		is := is.New(t)
 		p := newPool(4, 100, 10)
 		for range 200 {
-			lease, err := p.Acquire(Ticket{})
+			lease, err := p.Acquire(AcquireOptions{})
 			is.NoErr(err)
 			lease.Release(true)
 		}
--- a/jayserve/exchange.go
+++ b/jayserve/exchange.go
@@ -120,7 +120,7 @@
 
 // attempt sends the request to one upstream.
 func (x *exchange) attempt(k *keyed) (*jayclaim.Answer, error) {
-	lease, err := x.pool.Acquire(jayroute.Ticket{
+	lease, err := x.pool.Acquire(jayroute.AcquireOptions{
 		Caller:   x.caller,
 		Priority: x.route.Priority,
 		Avoid:    x.avoid,
