--- a/jaystate/fold.go
+++ b/jaystate/fold.go
@@ -12,12 +12,12 @@
 // Errors for which a command is rejected, besides those of packages jaypool and
 // jayconfig.
 var (
-	ErrConflict  = errors.New("the revision in force is another one")
-	ErrDuplicate = errors.New("duplicate command")
-	ErrUnknown   = errors.New("unknown command")
-	ErrNoSuch    = errors.New("no such thing")
-	ErrNoPool    = errors.New("no such pool is declared")
-	ErrState     = errors.New("not possible in this state")
+	ErrConflict        = errors.New("the revision in force is another one")
+	ErrDuplicate       = errors.New("duplicate command")
+	ErrUnknown         = errors.New("unknown command")
+	ErrNotFound        = errors.New("no such thing")
+	ErrPoolNotDeclared = errors.New("no such pool is declared")
+	ErrInvalidState    = errors.New("not possible in this state")
 )
 
 // Outcome is the result of one command.
--- a/jaystate/fold_configuration.go
+++ b/jaystate/fold_configuration.go
@@ -39,7 +39,7 @@
 	e.Subject = j.Entry
 	e.After = j.PeerAddr
 	if j.Entry == "" {
-		return fmt.Errorf("%w: an entry without identity", ErrNoSuch)
+		return fmt.Errorf("%w: an entry without identity", ErrNotFound)
 	}
 	m := Member{Entry: j.Entry, PeerAddr: j.PeerAddr, DataCenter: j.DataCenter}
 	i, known := s.findMember(j.Entry)
@@ -56,7 +56,7 @@
 	e.Subject = l.Entry
 	i, known := s.findMember(l.Entry)
 	if !known {
-		return fmt.Errorf("%w: entry %s", ErrNoSuch, l.Entry)
+		return fmt.Errorf("%w: entry %s", ErrNotFound, l.Entry)
 	}
 	s.Members = slices.Delete(s.Members, i, i+1)
 	return nil
@@ -71,7 +71,7 @@
 // planning.
 func (s *State) takePlannerLease(t *jaywire.TakePlannerLease, e *jaywire.AuditEntry) error {
 	if t.Term != s.Planner.Term+1 {
-		return fmt.Errorf("%w: term %d is taken, by %s", ErrState, t.Term, s.Planner.Entry)
+		return fmt.Errorf("%w: term %d is taken, by %s", ErrInvalidState, t.Term, s.Planner.Entry)
 	}
 	if t.Entry != s.Planner.Entry {
 		e.Kind = "planner"
--- a/jaystate/fold_fleet.go
+++ b/jaystate/fold_fleet.go
@@ -26,7 +26,7 @@
 		},
 	}
 	if old, known := s.Fleet.Instance(a.Instance); known && old.MoveTo != "" && old.MoveTo != a.Pool {
-		return fmt.Errorf("%w: %s is moving to %s", ErrState, a.Instance, old.MoveTo)
+		return fmt.Errorf("%w: %s is moving to %s", ErrInvalidState, a.Instance, old.MoveTo)
 	}
 	return s.Fleet.Attach(fresh, base)
 }
@@ -38,7 +38,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %s", ErrNoPool, pool)
+	return fmt.Errorf("%w: %s", ErrPoolNotDeclared, pool)
 }
 
 func (s *State) drainForMove(offset, base uint64, d *jaywire.DrainForMove, e *jaywire.AuditEntry) error {
@@ -84,7 +84,7 @@
 	}
 	e.Before = healthName(i.Failed)
 	if i.Failed == r.Failed {
-		return fmt.Errorf("%w: %s is %s already", ErrState, r.Instance, e.After)
+		return fmt.Errorf("%w: %s is %s already", ErrInvalidState, r.Instance, e.After)
 	}
 	return s.Fleet.SetFailed(r.Instance, r.Failed)
 }
--- a/jaystate/fold_job.go
+++ b/jaystate/fold_job.go
@@ -17,17 +17,17 @@
 	key := TaskKey{Job: p.Job, Replica: p.Replica}
 	task, known := s.Tasks[key]
 	if known && task.Instance != "" {
-		return fmt.Errorf("%w: %s runs on %s", ErrState, e.Subject, task.Instance)
+		return fmt.Errorf("%w: %s runs on %s", ErrInvalidState, e.Subject, task.Instance)
 	}
 	if why, parked := s.Parked[p.Job]; parked {
-		return fmt.Errorf("%w: job %s is parked: %s", ErrState, p.Job, why)
+		return fmt.Errorf("%w: job %s is parked: %s", ErrInvalidState, p.Job, why)
 	}
 	i, err := s.instance(p.Instance)
 	if err != nil {
 		return err
 	}
 	if !i.Available() {
-		return fmt.Errorf("%w: %s is %s", ErrState, i.ID, i.Phase)
+		return fmt.Errorf("%w: %s is %s", ErrInvalidState, i.ID, i.Phase)
 	}
 	if !known {
 		task = &jayjob.Task{Job: p.Job, Replica: int(p.Replica)}
@@ -46,11 +46,11 @@
 	e.After = t.Outcome
 	task, known := s.Tasks[TaskKey{Job: t.Job, Replica: t.Replica}]
 	if !known || task.Instance == "" {
-		return fmt.Errorf("%w: %s is not placed", ErrState, e.Subject)
+		return fmt.Errorf("%w: %s is not placed", ErrInvalidState, e.Subject)
 	}
 	e.Before = task.Instance
 	if task.Fence != base {
-		return fmt.Errorf("%w: %s was placed again at %d", ErrState, e.Subject, task.Fence)
+		return fmt.Errorf("%w: %s was placed again at %d", ErrInvalidState, e.Subject, task.Fence)
 	}
 	task.Instance = ""
 	switch t.Outcome {
@@ -73,7 +73,7 @@
 		e.Before = "parked: " + why
 	}
 	if parked != p.Released {
-		return fmt.Errorf("%w: job %s", ErrState, p.Job)
+		return fmt.Errorf("%w: job %s", ErrInvalidState, p.Job)
 	}
 	if p.Released {
 		e.After = "released"
--- a/jaystate/fold_test.go
+++ b/jaystate/fold_test.go
@@ -210,7 +210,7 @@
 	s := newState(t)
 	outcomes := applyAll(t, s, place("index", 0, "seats-0"), place("index", 0, "seats-1"))
 	is.NoErr(outcomes[0].Err)
-	is.True(errors.Is(outcomes[1].Err, ErrState))
+	is.True(errors.Is(outcomes[1].Err, ErrInvalidState))
 	fence := s.Tasks[TaskKey{Job: "index"}].Fence
 	end := func(base uint64) *jaywire.Command {
 		return &jaywire.Command{Base: base, Body: &jaywire.Command_EndTask{EndTask: &jaywire.EndTask{Job: "index", Outcome: "lost"}}}
@@ -218,7 +218,7 @@
 	outcomes = applyAll(t, s, end(fence), place("index", 0, "seats-1"), end(fence))
 	is.NoErr(outcomes[0].Err)
 	is.NoErr(outcomes[1].Err)
-	is.True(errors.Is(outcomes[2].Err, ErrState))
+	is.True(errors.Is(outcomes[2].Err, ErrInvalidState))
 	is.Equal(s.Tasks[TaskKey{Job: "index"}].Instance, "seats-1")
 }
 
--- a/jaystate/fold_wave.go
+++ b/jaystate/fold_wave.go
@@ -14,17 +14,17 @@
 	e.Subject = w.Wave
 	e.After = "running"
 	if w.Wave == "" || len(w.Pools) == 0 {
-		return fmt.Errorf("%w: a wave needs a name and pools", ErrState)
+		return fmt.Errorf("%w: a wave needs a name and pools", ErrInvalidState)
 	}
 	if _, known := s.Wave(w.Wave); known {
-		return fmt.Errorf("%w: wave %s exists", ErrState, w.Wave)
+		return fmt.Errorf("%w: wave %s exists", ErrInvalidState, w.Wave)
 	}
 	for _, pool := range w.Pools {
 		if err := s.checkDeclared(pool); err != nil {
 			return err
 		}
 		if other, busy := s.WaveOf(pool); busy {
-			return fmt.Errorf("%w: pool %s is in wave %s", ErrState, pool, other.ID)
+			return fmt.Errorf("%w: pool %s is in wave %s", ErrInvalidState, pool, other.ID)
 		}
 	}
 	pools := slices.Clone(w.Pools)
@@ -64,28 +64,28 @@
 	e.After = wavePhaseName(p.Phase)
 	w, ok := s.Wave(p.Wave)
 	if !ok {
-		return fmt.Errorf("%w: wave %s", ErrNoSuch, p.Wave)
+		return fmt.Errorf("%w: wave %s", ErrNotFound, p.Wave)
 	}
 	e.Before = wavePhaseName(w.Phase)
 	if w.Version != c.Base {
 		return fmt.Errorf("%w: wave %s is at %d, the command was based on %d", jaypool.ErrStaleVersion, w.ID, w.Version, c.Base)
 	}
 	if !w.Active() {
-		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, wavePhaseName(w.Phase))
+		return fmt.Errorf("%w: wave %s is %s", ErrInvalidState, w.ID, wavePhaseName(w.Phase))
 	}
 	// An operator may turn a pause by the planner into one by the operator.
 	takesOver := p.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED && w.Automatic && !p.Automatic
 	if p.Phase == jaywire.WavePhase_WAVE_PHASE_UNSPECIFIED || p.Phase == w.Phase && !takesOver {
-		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, wavePhaseName(w.Phase))
+		return fmt.Errorf("%w: wave %s is %s", ErrInvalidState, w.ID, wavePhaseName(w.Phase))
 	}
 	// Only an operator may end an operator's pause. Without this check the
 	// planner would resume a wave that was paused on purpose.
 	operatorPause := w.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED && !w.Automatic
 	if operatorPause && p.Automatic {
-		return fmt.Errorf("%w: wave %s was paused by an operator", ErrState, w.ID)
+		return fmt.Errorf("%w: wave %s was paused by an operator", ErrInvalidState, w.ID)
 	}
 	if p.Phase == jaywire.WavePhase_WAVE_PHASE_DONE && s.countUnfinishedSteps(w) > 0 {
-		return fmt.Errorf("%w: wave %s has steps under way", ErrState, w.ID)
+		return fmt.Errorf("%w: wave %s has steps under way", ErrInvalidState, w.ID)
 	}
 	if p.Phase == jaywire.WavePhase_WAVE_PHASE_DONE {
 		took := c.UnixMillis - w.StartedUnixMillis
@@ -118,17 +118,17 @@
 	e.After = "draining"
 	w, ok := s.Wave(st.Wave)
 	if !ok {
-		return fmt.Errorf("%w: wave %s", ErrNoSuch, st.Wave)
+		return fmt.Errorf("%w: wave %s", ErrNotFound, st.Wave)
 	}
 	if w.Phase != jaywire.WavePhase_WAVE_PHASE_RUNNING {
-		return fmt.Errorf("%w: wave %s is %s", ErrState, w.ID, wavePhaseName(w.Phase))
+		return fmt.Errorf("%w: wave %s is %s", ErrInvalidState, w.ID, wavePhaseName(w.Phase))
 	}
 	i, err := s.instance(st.Instance)
 	if err != nil {
 		return err
 	}
 	if !slices.Contains(w.Pools, i.Pool) || i.MaintainedIn == w.ID {
-		return fmt.Errorf("%w: %s is not due in wave %s", ErrState, i.ID, w.ID)
+		return fmt.Errorf("%w: %s is not due in wave %s", ErrInvalidState, i.ID, w.ID)
 	}
 	if err := s.Fleet.BeginDrain(i.ID, base, s.budget(i.Pool)); err != nil {
 		return err
@@ -143,11 +143,11 @@
 	e.After = stepPhaseName(a.Phase)
 	w, ok := s.Wave(a.Wave)
 	if !ok {
-		return fmt.Errorf("%w: wave %s", ErrNoSuch, a.Wave)
+		return fmt.Errorf("%w: wave %s", ErrNotFound, a.Wave)
 	}
 	step, ok := w.lastStep(a.Instance)
 	if !ok {
-		return fmt.Errorf("%w: no step of %s in wave %s", ErrNoSuch, a.Instance, a.Wave)
+		return fmt.Errorf("%w: no step of %s in wave %s", ErrNotFound, a.Instance, a.Wave)
 	}
 	e.Before = stepPhaseName(step.Phase)
 	if err := s.advanceInstance(base, a); err != nil {
