--- a/jayjournal/journal.go
+++ b/jayjournal/journal.go
@@ -70,7 +70,7 @@
 	epoch     int64
 	clock     jayclock.Clock
 	logger    logr.Logger
-	// failOnReject is set by WithRefusals.
+	// failOnReject is set by WithFailOnReject.
 	failOnReject bool
 
 	queue    *jayring.Ring[*Entry]
@@ -86,9 +86,9 @@
 // Option configures a journal.
 type Option func(*Journal)
 
-// WithRefusals makes the journal report jayport.ErrRejected for an append once the
+// WithFailOnReject makes the journal report jayport.ErrRejected for an append once the
 // store has certainly rejected every attempt, instead of retrying it.
-func WithRefusals() Option {
+func WithFailOnReject() Option {
 	return func(j *Journal) { j.failOnReject = true }
 }
 
--- a/jayjournal/journal_test.go
+++ b/jayjournal/journal_test.go
@@ -122,12 +122,12 @@
 		{"response lost, append applied", []answer{lostAfterAppend}, nil, nil, []string{"a"}},
 		{"response lost, append not applied", []answer{lostBeforeAppend, lostAfterAppend, lostBeforeAppend}, nil, nil, []string{"a"}},
 		{"rejected, retried", []answer{rejected, rejected}, nil, nil, []string{"a"}},
-		{"rejected, reported as failed", []answer{rejected}, []Option{WithRefusals()}, jayport.ErrRejected, nil},
+		{"rejected, reported as failed", []answer{rejected}, []Option{WithFailOnReject()}, jayport.ErrRejected, nil},
 		// The response to an append is lost and the retry is rejected. The
 		// rejection says nothing about the first attempt: a job that was
 		// reported as refused could run.
-		{"response lost, retry rejected", []answer{lostAfterAppend, rejected}, []Option{WithRefusals()}, nil, []string{"a"}},
-		{"response lost, retries rejected beyond the timeout of the first attempt", append([]answer{lostAfterAppend}, slices.Repeat([]answer{rejected}, 12)...), []Option{WithRefusals()}, nil, []string{"a"}},
+		{"response lost, retry rejected", []answer{lostAfterAppend, rejected}, []Option{WithFailOnReject()}, nil, []string{"a"}},
+		{"response lost, retries rejected beyond the timeout of the first attempt", append([]answer{lostAfterAppend}, slices.Repeat([]answer{rejected}, 12)...), []Option{WithFailOnReject()}, nil, []string{"a"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
