--- a/jayjournal/journal.go
+++ b/jayjournal/journal.go
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// StuckFor returns the time since the current append began, or zero if there is
+// AppendAge returns the time since the current append began, or zero if there is
 // none.
-func (j *Journal) StuckFor() time.Duration {
+func (j *Journal) AppendAge() time.Duration {
 	since := j.appendStarted.Load()
 	if since == 0 {
 		return 0
--- a/jayjournal/journal_test.go
+++ b/jayjournal/journal_test.go
@@ -174,9 +174,9 @@
 		waiting, never := add(t, j, "waiting")
 		is.True(!sent.Withdraw()) // it may have taken effect
 		is.True(waiting.Withdraw())
-		is.True(j.StuckFor() == 0)
+		is.True(j.AppendAge() == 0)
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(j.StuckFor(), 100*time.Millisecond)
+		is.Equal(j.AppendAge(), 100*time.Millisecond)
 		is.NoErr(<-done)
 		synctest.Wait()
 		is.Equal(s.order, []string{"sent"})
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -123,7 +123,7 @@
 		since := waveStartTime(w.since, progress, now, time.Now())
 		d.fleet.AddWave(w.Wave, since, progress.GetMaintained(), progress.GetDone())
 	}
-	if d.guard.MayDecide(d.journal.StuckFor()) {
+	if d.guard.MayDecide(d.journal.AppendAge()) {
 		for _, action := range d.fleet.Decide(now) {
 			d.perform(action)
 		}
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -207,7 +207,7 @@
 // outage returns for how long the store has accepted no jobs of a pool, as far as this
 // entry knows.
 func (i *intake) outage(pool string) time.Duration {
-	return max(i.journals[i.node.partitionOf(pool)].StuckFor(), i.node.store.LostFor())
+	return max(i.journals[i.node.partitionOf(pool)].AppendAge(), i.node.store.LostFor())
 }
 
 // append appends a job. Behind an append that is stuck, the job waits until waitUntil.
@@ -254,7 +254,7 @@
 // stuck reports whether the current append of a journal has waited for its answer for
 // longer than appends take at present.
 func (i *intake) stuck(journal *jayjournal.Journal) bool {
-	return journal.StuckFor() > max(stuckAfter, stuckLatencies*i.node.store.Latency())
+	return journal.AppendAge() > max(stuckAfter, stuckLatencies*i.node.store.Latency())
 }
 
 // storeSilenceLimit is how long this entry may be without an answer from the store before
