--- a/jayclaim/claimer.go
+++ b/jayclaim/claimer.go
@@ -23,7 +23,7 @@
 type Committer interface {
 	Commit(id string, claim *jaywire.Claim, timeout time.Duration) (first bool, err error)
 	Submit(id string, claim *jaywire.Claim) error
-	Forget(id string)
+	Cancel(id string)
 }
 
 // Decision is the decision on a keyed request: Run or Replay.
@@ -190,7 +190,7 @@
 		Entry:      c.self,
 		UnixMillis: c.now().UnixMilli(),
 	}
-	c.committer.Forget(claim.Id)
+	c.committer.Cancel(claim.Id)
 	c.mu.Lock()
 	c.table.Release(claim, c.now())
 	c.mu.Unlock()
--- a/jayclaim/claimer_test.go
+++ b/jayclaim/claimer_test.go
@@ -21,7 +21,7 @@
 
 func (isolated) Commit(string, *jaywire.Claim, time.Duration) (bool, error) { return false, errNoLog }
 func (isolated) Submit(string, *jaywire.Claim) error                        { return nil }
-func (isolated) Forget(string)                                              {}
+func (isolated) Cancel(string)                                              {}
 func (isolated) Others() []jaystate.Member                                  { return nil }
 func (isolated) Ask(jaystate.Member, *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
 	return nil, errNoLog
--- a/jayentry/claims.go
+++ b/jayentry/claims.go
@@ -55,9 +55,9 @@
 	return c.committer.Submit(id, claim)
 }
 
-// Forget drops a queued claim whose append has not begun.
-func (c *claimLog) Forget(id string) {
-	c.committer.Forget(id)
+// Cancel drops a queued claim whose append has not begun.
+func (c *claimLog) Cancel(id string) {
+	c.committer.Cancel(id)
 }
 
 // From returns the offset of the next record to apply.
--- a/jayentry/planner.go
+++ b/jayentry/planner.go
@@ -110,7 +110,7 @@
 		// Outdated commands must not accumulate during an outage and be appended
 		// all at once after it. The next round plans again.
 		for _, c := range commands {
-			d.entry.store.committer.Forget(c.Id)
+			d.entry.store.committer.Cancel(c.Id)
 		}
 	}
 }
--- a/jaylog/committer.go
+++ b/jaylog/committer.go
@@ -102,7 +102,7 @@
 	c.waiters[id] = seen
 	c.mu.Unlock()
 	if err := c.Submit(id, item); err != nil {
-		c.Forget(id)
+		c.Cancel(id)
 		return none, err
 	}
 	timer := time.NewTimer(timeout)
@@ -112,7 +112,7 @@
 		return result, nil
 	case <-timer.C:
 	}
-	c.Forget(id)
+	c.Cancel(id)
 	select {
 	case result := <-seen:
 		return result, nil
@@ -150,9 +150,9 @@
 	c.wakeUp()
 }
 
-// Forget cancels an item and removes its waiter. An item that is queued or in doubt is
+// Cancel cancels an item and removes its waiter. An item that is queued or in doubt is
 // not appended any more; one whose append is in flight is not retried.
-func (c *Committer[T, R]) Forget(id string) {
+func (c *Committer[T, R]) Cancel(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiters, id)
