--- a/jaynode/node.go
+++ b/jaynode/node.go
@@ -135,7 +135,7 @@
 	n.logger.Info("started", "incarnation", n.incarnation)
 	n.duties.Go(func() { n.peerServer.Serve(listener, nil) })
 	n.follow(ctx, n.ports.Formats.Declarations(), jaytail.Options{Wait: declarationsWait}, n.declarations)
-	n.follow(ctx, n.ports.Formats.Heartbeats(), jaytail.Options{Pause: reportsReadDelay, Needed: n.ownsAnyDuty, Hurry: n.lacksRoom}, n.reports)
+	n.follow(ctx, n.ports.Formats.Heartbeats(), jaytail.Options{Pause: reportsReadDelay, Needed: n.ownsAnyDuty, Urgent: n.lacksRoom}, n.reports)
 	n.members.Start(ctx)
 	n.intake.start(ctx)
 	return nil
--- a/jaytail/tail.go
+++ b/jaytail/tail.go
@@ -36,11 +36,11 @@
 	Prefix string
 	// Wait is the time for which one read asks the store to wait for a record.
 	Wait time.Duration
-	// Pause is the delay between successful reads. While Hurry returns true it is
-	// a third of that, for records that are needed with low latency. A nil Hurry
+	// Pause is the delay between successful reads. While Urgent returns true it is
+	// a third of that, for records that are needed with low latency. A nil Urgent
 	// counts as false.
-	Pause time.Duration
-	Hurry func() bool
+	Pause  time.Duration
+	Urgent func() bool
 	// Needed returns whether the records are needed at present. While it returns
 	// false nothing is read, since each read is billed. A nil Needed counts as
 	// true.
@@ -127,16 +127,16 @@
 	}
 }
 
-// hurryDivisor is the divisor of Options.Pause while Options.Hurry returns true.
-const hurryDivisor = 3
+// urgentDivisor is the divisor of Options.Pause while Options.Urgent returns true.
+const urgentDivisor = 3
 
 // pause returns the delay before the next read.
 func (t *Tail) pause() time.Duration {
 	if t.behind {
 		return 0
 	}
-	if t.options.Hurry != nil && t.options.Hurry() {
-		return t.options.Pause / hurryDivisor
+	if t.options.Urgent != nil && t.options.Urgent() {
+		return t.options.Pause / urgentDivisor
 	}
 	return t.options.Pause
 }
--- a/jaytail/tail_test.go
+++ b/jaytail/tail_test.go
@@ -137,10 +137,10 @@
 	})
 	t.Run("pause is a third while Hurry returns true", func(t *testing.T) {
 		is := is.New(t)
-		hurry := false
-		tail, _ := newTail(newMemoryStore(), Options{Pause: 300 * time.Millisecond, Hurry: func() bool { return hurry }})
+		urgent := false
+		tail, _ := newTail(newMemoryStore(), Options{Pause: 300 * time.Millisecond, Urgent: func() bool { return urgent }})
 		is.Equal(tail.pause(), 300*time.Millisecond)
-		hurry = true
+		urgent = true
 		is.Equal(tail.pause(), 100*time.Millisecond)
 	})
 	t.Run("applies only keys with the prefix", func(t *testing.T) {
