--- a/jayentry/entry.go
+++ b/jayentry/entry.go
@@ -91,7 +91,7 @@
 	if options.Entry == "" {
 		options.Entry = options.DataCenter + "-" + uuid.NewString()[:8]
 	}
-	keys, err := jaypeer.LoadKeys(options.PeerCertFile, options.PeerKeyFile, options.PeerAuthorityFile)
+	keys, err := jaypeer.LoadTLSConfig(options.PeerCertFile, options.PeerKeyFile, options.PeerAuthorityFile)
 	if err != nil {
 		return nil, err
 	}
--- a/jaypeer/keys.go
+++ b/jaypeer/keys.go
@@ -9,13 +9,13 @@
 	"github.com/samber/oops"
 )
 
-// ErrAuthority is returned for a certificate authority file without certificates.
-var ErrAuthority = errors.New("no certificate in the authority file")
+// ErrNoCACertificate is returned for a certificate authority file without certificates.
+var ErrNoCACertificate = errors.New("no certificate in the authority file")
 
-// LoadKeys returns the mutual TLS configuration of an entry: its own certificate and
+// LoadTLSConfig returns the mutual TLS configuration of an entry: its own certificate and
 // key, and the certificate authority that signs the certificates of its peers. If
 // certFile is empty it returns nil, for connections without encryption.
-func LoadKeys(certFile, keyFile, authorityFile string) (*tls.Config, error) {
+func LoadTLSConfig(certFile, keyFile, authorityFile string) (*tls.Config, error) {
 	if certFile == "" {
 		return nil, nil
 	}
@@ -29,7 +29,7 @@
 	}
 	authority := x509.NewCertPool()
 	if !authority.AppendCertsFromPEM(text) {
-		return nil, oops.In("peer keys").Wrapf(ErrAuthority, "read %s", authorityFile)
+		return nil, oops.In("peer keys").Wrapf(ErrNoCACertificate, "read %s", authorityFile)
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
--- a/jaypeer/peer_test.go
+++ b/jaypeer/peer_test.go
@@ -121,7 +121,7 @@
 }
 
 // newTLSConfig writes a new certificate authority and a certificate signed by it to files,
-// and returns the TLS configuration that LoadKeys reads from them.
+// and returns the TLS configuration that LoadTLSConfig reads from them.
 func newTLSConfig(t *testing.T) *tls.Config {
 	t.Helper()
 	dir := t.TempDir()
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config, err := LoadKeys(write("cert", "CERTIFICATE", cert.Raw), write("key", "EC PRIVATE KEY", der), write("authority", "CERTIFICATE", authority.Raw))
+	config, err := LoadTLSConfig(write("cert", "CERTIFICATE", cert.Raw), write("key", "EC PRIVATE KEY", der), write("authority", "CERTIFICATE", authority.Raw))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 		is.New(t).True(err != nil)
 	})
 	t.Run("missing files are an error", func(t *testing.T) {
-		_, err := LoadKeys("nowhere", "nowhere", "nowhere")
+		_, err := LoadTLSConfig("nowhere", "nowhere", "nowhere")
 		is.New(t).True(err != nil)
 	})
 }
