--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -132,7 +132,7 @@
 		return false, jayport.ErrNoAnswer
 	}
 	stored := response.GetJobStored()
-	err = jayrelay.ErrorOf(&jaywire.StoreResult{Outcome: stored.GetOutcome()})
+	err = jayrelay.DecodeError(&jaywire.StoreResult{Outcome: stored.GetOutcome()})
 	return err == nil || !stored.GetStoreAway(), err
 }
 
--- a/jaynode/relaypeers.go
+++ b/jaynode/relaypeers.go
@@ -47,5 +47,5 @@
 		return nil, fmt.Errorf("%w: %w", jayport.ErrNoAnswer, err)
 	}
 	result := response.GetStoreResult()
-	return result, jayrelay.ErrorOf(result)
+	return result, jayrelay.DecodeError(result)
 }
--- a/jayrelay/codec.go
+++ b/jayrelay/codec.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// ErrorOf decodes the error of a result, or nil. An outcome that this program does
+// DecodeError decodes the error of a result, or nil. An outcome that this program does
 // not know becomes jayport.ErrNoAnswer, since the call may have taken effect.
-func ErrorOf(result *jaywire.StoreResult) error {
+func DecodeError(result *jaywire.StoreResult) error {
 	switch result.GetOutcome() {
 	case jaywire.StoreOutcome_STORE_OUTCOME_GOOD:
 		return nil
--- a/jayrelay/relay_test.go
+++ b/jayrelay/relay_test.go
@@ -80,7 +80,7 @@
 
 func (f fakePeers) Relay(peer string, call *jaywire.StoreCall) (*jaywire.StoreResult, error) {
 	result := Serve(f[peer], call)
-	return result, ErrorOf(result)
+	return result, DecodeError(result)
 }
 
 var (
@@ -193,10 +193,10 @@
 		&jayport.StaleError{End: 1}, &jayport.FencedError{}, &jayport.SequenceError{Expected: 2}, &jayport.ExpiredError{First: 3},
 	} {
 		t.Run(want.Error(), func(t *testing.T) {
-			is.New(t).Equal(ErrorOf(resultOf(fmt.Errorf("wrapped: %w", want))).Error(), want.Error())
+			is.New(t).Equal(DecodeError(resultOf(fmt.Errorf("wrapped: %w", want))).Error(), want.Error())
 		})
 	}
-	is.New(t).NoErr(ErrorOf(&jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_GOOD}))
+	is.New(t).NoErr(DecodeError(&jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_GOOD}))
 }
 
 // unresponsiveStore never responds to calls that are sent while it is away. They end
