--- a/jayreplay/crash_test.go
+++ b/jayreplay/crash_test.go
@@ -16,10 +16,10 @@
 
 // withCrashingJobs adds jobs to the load peak of the first queue. One task of each job
 // crashes every worker that starts it.
-func withCrashingJobs(jobs int, after time.Duration) func(*Turns, *Load) {
-	return func(t *Turns, l *Load) {
+func withCrashingJobs(jobs int, after time.Duration) func(*SequentialBursts, *Load) {
+	return func(b *SequentialBursts, l *Load) {
 		l.RebootTime = 2500 * time.Millisecond
-		shape := t.Shapes[0]
+		shape := b.Shapes[0]
 		for n := range jobs {
 			a := Arrival{
 				At:      warmUp + 3*time.Second + time.Duration(n)*50*time.Millisecond,
@@ -88,7 +88,7 @@
 		t.Run(fmt.Sprint("one outage every ", pause), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourPeaks(1, func(_ *Turns, l *Load) {
+			r := Play(fourPeaks(1, func(_ *SequentialBursts, l *Load) {
 				for at := time.Duration(0); at < 12*time.Second; at += pause {
 					l.Outages = append(l.Outages, Outage{At: warmUp + at, For: 500 * time.Millisecond, First: len(l.Outages) * 2, Each: 5})
 				}
--- a/jayreplay/generate.go
+++ b/jayreplay/generate.go
@@ -34,14 +34,14 @@
 	Policy     jayspec.Policy
 }
 
-// Turns describes a load of several queues whose peaks follow one another.
-type Turns struct {
+// SequentialBursts describes a load of several queues whose peaks follow one another.
+type SequentialBursts struct {
 	Shapes []Shape
 	// Width is the full width of a peak at half of its height.
 	Width time.Duration
-	// Between is the constant part of the arrival rate outside the peak, as a share of
+	// BaseShare is the constant part of the arrival rate outside the peak, as a share of
 	// the mean rate.
-	Between float64
+	BaseShare float64
 	// Phase gives the position of a queue's peak in the sequence of peaks. A queue that
 	// is missing has its peak at its position in Shapes.
 	Phase map[string]int
@@ -76,13 +76,13 @@
 
 // Arrivals returns the jobs of all queues for instances of the given capacity, ordered by
 // time.
-func (t Turns) Arrivals(size jaypool.Resources) []Arrival {
+func (s SequentialBursts) Arrivals(size jaypool.Resources) []Arrival {
 	var arrivals []Arrival
-	for turn, shape := range t.Shapes {
-		if phase, set := t.Phase[shape.Queue]; set {
-			turn = phase
+	for position, shape := range s.Shapes {
+		if phase, set := s.Phase[shape.Queue]; set {
+			position = phase
 		}
-		arrivals = append(arrivals, t.queueArrivals(shape, turn, size)...)
+		arrivals = append(arrivals, s.queueArrivals(shape, position, size)...)
 	}
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Job.ID, b.Job.ID))
@@ -92,22 +92,22 @@
 
 // queueArrivals returns the jobs of one queue, whose load peak has the given position in the
 // sequence of peaks. Arrivals are a Poisson process with a varying rate.
-func (t Turns) queueArrivals(shape Shape, turn int, size jaypool.Resources) []Arrival {
-	random := rand.New(rand.NewPCG(t.Seed, uint64(turn)))
-	each := t.For / time.Duration(len(t.Shapes))
-	center := time.Duration(turn)*each + each/2
-	most := shape.Rate * (t.Between + t.peakFactor())
+func (s SequentialBursts) queueArrivals(shape Shape, position int, size jaypool.Resources) []Arrival {
+	random := rand.New(rand.NewPCG(s.Seed, uint64(position)))
+	each := s.For / time.Duration(len(s.Shapes))
+	center := time.Duration(position)*each + each/2
+	most := shape.Rate * (s.BaseShare + s.peakFactor())
 	var arrivals []Arrival
 	for at := time.Duration(0); ; {
 		at += seconds(random.ExpFloat64() / most)
-		if at >= t.For {
+		if at >= s.For {
 			break
 		}
-		widths := (at - center).Seconds() / t.Width.Seconds()
-		rate := shape.Rate * (t.Between + t.peakFactor()*math.Exp(-4*math.Ln2*widths*widths))
+		widths := (at - center).Seconds() / s.Width.Seconds()
+		rate := shape.Rate * (s.BaseShare + s.peakFactor()*math.Exp(-4*math.Ln2*widths*widths))
 		if random.Float64()*most < rate {
 			id := fmt.Sprintf("%s%04d", shape.Queue, len(arrivals))
-			arrivals = append(arrivals, shape.job(id, t.Begin+at, size, random))
+			arrivals = append(arrivals, shape.job(id, s.Begin+at, size, random))
 		}
 	}
 	return arrivals
@@ -115,8 +115,8 @@
 
 // peakFactor returns the rate at the top of a peak, as a multiple of the mean rate and
 // without the constant part.
-func (t Turns) peakFactor() float64 {
-	return (1 - t.Between) * t.For.Seconds() / t.Width.Seconds() * math.Sqrt(4*math.Ln2/math.Pi)
+func (s SequentialBursts) peakFactor() float64 {
+	return (1 - s.BaseShare) * s.For.Seconds() / s.Width.Seconds() * math.Sqrt(4*math.Ln2/math.Pi)
 }
 
 // job returns a random job of the shape.
--- a/jayreplay/loads_test.go
+++ b/jayreplay/loads_test.go
@@ -18,7 +18,7 @@
 
 // fourPeaks returns a load of four queues on 49 instances, two with short jobs and two
 // with large ones. Their load peaks follow one another.
-func fourPeaks(seed uint64, changes ...func(*Turns, *Load)) Load {
+func fourPeaks(seed uint64, changes ...func(*SequentialBursts, *Load)) Load {
 	quick := Shape{
 		Steps: 1.6, Width: 6, Takes: 800 * time.Millisecond, EstimateOff: 0.9,
 		Need: jaypool.Resources{ProcessorsMilli: 3_500, MemoryMegabytes: 13_000},
@@ -31,34 +31,34 @@
 		s.Queue, s.Pool, s.Rate, s.Policy = queue, "pool-"+queue, rate, policy
 		return s
 	}
-	turns := Turns{
+	bursts := SequentialBursts{
 		Shapes: []Shape{of(quick, "a", 9.07), of(large, "b", 1.06), of(quick, "c", 11.3), of(large, "d", 1.3)},
-		Width:  7 * time.Second, Between: 0.05, Begin: warmUp, For: 34 * time.Second, Seed: seed,
+		Width:  7 * time.Second, BaseShare: 0.05, Begin: warmUp, For: 34 * time.Second, Seed: seed,
 	}
 	load := Load{
 		Hosts: map[string]int{"pool-a": 9, "pool-b": 9, "pool-c": 11, "pool-d": 12}, Off: 8,
 		Size: instance, MoveTime: 1500 * time.Millisecond, From: warmUp, Until: warmUp + 48*time.Second,
 	}
 	for _, change := range changes {
-		change(&turns, &load)
+		change(&bursts, &load)
 	}
-	load.Arrivals = append(load.Arrivals, turns.Arrivals(instance)...)
+	load.Arrivals = append(load.Arrivals, bursts.Arrivals(instance)...)
 	return load
 }
 
 // withRateFactor multiplies the arrival rates of all queues.
-func withRateFactor(times float64) func(*Turns, *Load) {
-	return func(t *Turns, l *Load) {
-		for n := range t.Shapes {
-			t.Shapes[n].Rate *= times
+func withRateFactor(times float64) func(*SequentialBursts, *Load) {
+	return func(b *SequentialBursts, l *Load) {
+		for n := range b.Shapes {
+			b.Shapes[n].Rate *= times
 		}
 		l.Until += 10 * time.Second
 	}
 }
 
 // withLinkRate limits the links of the owners to a bandwidth in bytes per second.
-func withLinkRate(rate float64) func(*Turns, *Load) {
-	return func(_ *Turns, l *Load) { l.Link = rate }
+func withLinkRate(rate float64) func(*SequentialBursts, *Load) {
+	return func(_ *SequentialBursts, l *Load) { l.Link = rate }
 }
 
 // longRunningJob returns a job of long-running tasks.
--- a/jayreplay/simulation_test.go
+++ b/jayreplay/simulation_test.go
@@ -109,9 +109,9 @@
 	// off. The short tasks fill each gap that is too small for the large task, which waited
 	// for half a minute: a task was started only where it fitted at that moment.
 	is := is.New(t)
-	load := fourPeaks(1, func(turns *Turns, l *Load) {
-		turns.Shapes, turns.Width = turns.Shapes[:1], 20*time.Second
-		turns.Shapes[0].Rate *= 3
+	load := fourPeaks(1, func(bursts *SequentialBursts, l *Load) {
+		bursts.Shapes, bursts.Width = bursts.Shapes[:1], 20*time.Second
+		bursts.Shapes[0].Rate *= 3
 		l.Hosts, l.Off = map[string]int{"pool-a": 6}, 0
 	})
 	most := jaypool.Resources{ProcessorsMilli: 5_000, MemoryMegabytes: instance.MemoryMegabytes * 4 / 5}
