--- a/jayreplay/crash_test.go
+++ b/jayreplay/crash_test.go
@@ -19,16 +19,16 @@
 func withCrashingJobs(jobs int, after time.Duration) func(*SequentialBursts, *Load) {
 	return func(b *SequentialBursts, l *Load) {
 		l.RebootTime = 2500 * time.Millisecond
-		shape := b.Shapes[0]
+		queueLoad := b.QueueLoads[0]
 		for n := range jobs {
 			a := Arrival{
 				At:      warmUp + 3*time.Second + time.Duration(n)*50*time.Millisecond,
 				Crashes: []Crash{{Index: n % 2, After: after}},
 				Job: &jayspec.Job{
-					ID: fmt.Sprint("crash", n), Queue: shape.Queue, Pool: shape.Pool, Text: "text", Policy: shape.Policy,
-					Steps: []jayspec.Step{{Tasks: 2, Need: shape.Need, Estimate: shape.Takes}},
+					ID: fmt.Sprint("crash", n), Queue: queueLoad.Queue, Pool: queueLoad.Pool, Text: "text", Policy: queueLoad.Policy,
+					Steps: []jayspec.Step{{Tasks: 2, Need: queueLoad.Need, Estimate: queueLoad.MeanDuration}},
 				},
-				Takes: [][]time.Duration{{shape.Takes, shape.Takes}},
+				Durations: [][]time.Duration{{queueLoad.MeanDuration, queueLoad.MeanDuration}},
 			}
 			l.Arrivals = append(l.Arrivals, a)
 		}
--- a/jayreplay/generate.go
+++ b/jayreplay/generate.go
@@ -12,8 +12,8 @@
 	"jaythread/jayspec"
 )
 
-// Shape describes the random distribution of the jobs of a queue.
-type Shape struct {
+// QueueLoad describes the random distribution of the jobs of a queue.
+type QueueLoad struct {
 	Queue string
 	Pool  string
 	// Rate is the mean number of jobs that arrive per second.
@@ -24,11 +24,11 @@
 	Width float64
 	// Need is the mean of the resources that a task requests.
 	Need jaypool.Resources
-	// Takes is the mean run time of a task.
-	Takes time.Duration
-	// EstimateOff is the error of the declared estimates, as the standard deviation of
+	// MeanDuration is the mean run time of a task.
+	MeanDuration time.Duration
+	// EstimateSpread is the error of the declared estimates, as the standard deviation of
 	// the logarithm of estimate over actual run time.
-	EstimateOff float64
+	EstimateSpread float64
 	// Checkpoint says that the tasks write checkpoints.
 	Checkpoint bool
 	Policy     jayspec.Policy
@@ -36,14 +36,14 @@
 
 // SequentialBursts describes a load of several queues whose peaks follow one another.
 type SequentialBursts struct {
-	Shapes []Shape
+	QueueLoads []QueueLoad
 	// Width is the full width of a peak at half of its height.
 	Width time.Duration
 	// BaseShare is the constant part of the arrival rate outside the peak, as a share of
 	// the mean rate.
 	BaseShare float64
 	// Phase gives the position of a queue's peak in the sequence of peaks. A queue that
-	// is missing has its peak at its position in Shapes.
+	// is missing has its peak at its position in QueueLoads.
 	Phase map[string]int
 	// Begin is when jobs begin to arrive.
 	Begin time.Duration
@@ -78,11 +78,11 @@
 // time.
 func (s SequentialBursts) Arrivals(size jaypool.Resources) []Arrival {
 	var arrivals []Arrival
-	for position, shape := range s.Shapes {
-		if phase, set := s.Phase[shape.Queue]; set {
+	for position, queueLoad := range s.QueueLoads {
+		if phase, set := s.Phase[queueLoad.Queue]; set {
 			position = phase
 		}
-		arrivals = append(arrivals, s.queueArrivals(shape, position, size)...)
+		arrivals = append(arrivals, s.queueArrivals(queueLoad, position, size)...)
 	}
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Job.ID, b.Job.ID))
@@ -92,11 +92,11 @@
 
 // queueArrivals returns the jobs of one queue, whose load peak has the given position in the
 // sequence of peaks. Arrivals are a Poisson process with a varying rate.
-func (s SequentialBursts) queueArrivals(shape Shape, position int, size jaypool.Resources) []Arrival {
+func (s SequentialBursts) queueArrivals(queueLoad QueueLoad, position int, size jaypool.Resources) []Arrival {
 	random := rand.New(rand.NewPCG(s.Seed, uint64(position)))
-	each := s.For / time.Duration(len(s.Shapes))
+	each := s.For / time.Duration(len(s.QueueLoads))
 	center := time.Duration(position)*each + each/2
-	most := shape.Rate * (s.BaseShare + s.peakFactor())
+	most := queueLoad.Rate * (s.BaseShare + s.peakFactor())
 	var arrivals []Arrival
 	for at := time.Duration(0); ; {
 		at += seconds(random.ExpFloat64() / most)
@@ -104,10 +104,10 @@
 			break
 		}
 		widths := (at - center).Seconds() / s.Width.Seconds()
-		rate := shape.Rate * (s.BaseShare + s.peakFactor()*math.Exp(-4*math.Ln2*widths*widths))
+		rate := queueLoad.Rate * (s.BaseShare + s.peakFactor()*math.Exp(-4*math.Ln2*widths*widths))
 		if random.Float64()*most < rate {
-			id := fmt.Sprintf("%s%04d", shape.Queue, len(arrivals))
-			arrivals = append(arrivals, shape.job(id, s.Begin+at, size, random))
+			id := fmt.Sprintf("%s%04d", queueLoad.Queue, len(arrivals))
+			arrivals = append(arrivals, queueLoad.job(id, s.Begin+at, size, random))
 		}
 	}
 	return arrivals
@@ -119,28 +119,28 @@
 	return (1 - s.BaseShare) * s.For.Seconds() / s.Width.Seconds() * math.Sqrt(4*math.Ln2/math.Pi)
 }
 
-// job returns a random job of the shape.
-func (s Shape) job(id string, at time.Duration, size jaypool.Resources, random *rand.Rand) Arrival {
-	a := Arrival{At: at, Job: &jayspec.Job{ID: id, Queue: s.Queue, Pool: s.Pool, Text: "text", Policy: s.Policy}}
-	steps := min(maxSteps, max(1, int(math.Round(logNormal(random, s.Steps, sizeSpread)))))
+// job returns a random job of the queue.
+func (l QueueLoad) job(id string, at time.Duration, size jaypool.Resources, random *rand.Rand) Arrival {
+	a := Arrival{At: at, Job: &jayspec.Job{ID: id, Queue: l.Queue, Pool: l.Pool, Text: "text", Policy: l.Policy}}
+	steps := min(maxSteps, max(1, int(math.Round(logNormal(random, l.Steps, sizeSpread)))))
 	need := jaypool.Resources{
-		ProcessorsMilli: min(int64(logNormal(random, float64(s.Need.ProcessorsMilli), needSpread)), int64(maxTaskShare*float64(size.ProcessorsMilli))),
-		MemoryMegabytes: min(int64(logNormal(random, float64(s.Need.MemoryMegabytes), needSpread)), int64(maxTaskShare*float64(size.MemoryMegabytes))),
+		ProcessorsMilli: min(int64(logNormal(random, float64(l.Need.ProcessorsMilli), needSpread)), int64(maxTaskShare*float64(size.ProcessorsMilli))),
+		MemoryMegabytes: min(int64(logNormal(random, float64(l.Need.MemoryMegabytes), needSpread)), int64(maxTaskShare*float64(size.MemoryMegabytes))),
 	}
-	off := logNormal(random, 1, s.EstimateOff)
+	estimateFactor := logNormal(random, 1, l.EstimateSpread)
 	for step := range steps {
-		decl := jayspec.Step{Tasks: min(maxTasksPerStep, max(1, int(math.Round(logNormal(random, s.Width, sizeSpread))))), Need: need, Checkpoint: s.Checkpoint}
+		decl := jayspec.Step{Tasks: min(maxTasksPerStep, max(1, int(math.Round(logNormal(random, l.Width, sizeSpread))))), Need: need, Checkpoint: l.Checkpoint}
 		if step > 0 {
 			decl.After = []int{step - 1}
 		}
-		mean := logNormal(random, s.Takes.Seconds(), durationSpread)
-		decl.Estimate = seconds(mean * off)
-		var takes []time.Duration
+		mean := logNormal(random, l.MeanDuration.Seconds(), durationSpread)
+		decl.Estimate = seconds(mean * estimateFactor)
+		var durations []time.Duration
 		for range decl.Tasks {
-			takes = append(takes, seconds(logNormal(random, mean, taskSpread)))
+			durations = append(durations, seconds(logNormal(random, mean, taskSpread)))
 		}
 		a.Job.Steps = append(a.Job.Steps, decl)
-		a.Takes = append(a.Takes, takes)
+		a.Durations = append(a.Durations, durations)
 	}
 	return a
 }
--- a/jayreplay/load.go
+++ b/jayreplay/load.go
@@ -48,9 +48,9 @@
 type Arrival struct {
 	At  time.Duration
 	Job *jayspec.Job
-	// Takes is the actual run time of each task, by step and index. Long-running tasks have
+	// Durations is the actual run time of each task, by step and index. Long-running tasks have
 	// no entry: they run until the end of the simulation.
-	Takes [][]time.Duration
+	Durations [][]time.Duration
 	// Crashes lists the tasks that crash every worker that starts them.
 	Crashes []Crash
 }
@@ -71,8 +71,8 @@
 	}
 	chain := a.Job.LongestChain(func(step int) time.Duration {
 		longest := time.Duration(0)
-		for _, takes := range a.Takes[step] {
-			longest = max(longest, takes)
+		for _, d := range a.Durations[step] {
+			longest = max(longest, d)
 		}
 		return longest
 	})
@@ -83,9 +83,9 @@
 // tasks.
 func (a *Arrival) work() float64 {
 	total := 0.0
-	for n, takes := range a.Takes {
-		for _, t := range takes {
-			total += t.Seconds() * float64(a.Job.Steps[n].Need.ProcessorsMilli) / milliPerCore
+	for n, durations := range a.Durations {
+		for _, d := range durations {
+			total += d.Seconds() * float64(a.Job.Steps[n].Need.ProcessorsMilli) / milliPerCore
 		}
 	}
 	return total
--- a/jayreplay/loads_test.go
+++ b/jayreplay/loads_test.go
@@ -19,21 +19,21 @@
 // fourPeaks returns a load of four queues on 49 instances, two with short jobs and two
 // with large ones. Their load peaks follow one another.
 func fourPeaks(seed uint64, changes ...func(*SequentialBursts, *Load)) Load {
-	quick := Shape{
-		Steps: 1.6, Width: 6, Takes: 800 * time.Millisecond, EstimateOff: 0.9,
+	quick := QueueLoad{
+		Steps: 1.6, Width: 6, MeanDuration: 800 * time.Millisecond, EstimateSpread: 0.9,
 		Need: jaypool.Resources{ProcessorsMilli: 3_500, MemoryMegabytes: 13_000},
 	}
-	large := Shape{
-		Steps: 2, Width: 8, Takes: 2100 * time.Millisecond, EstimateOff: 0.2, Checkpoint: true,
+	large := QueueLoad{
+		Steps: 2, Width: 8, MeanDuration: 2100 * time.Millisecond, EstimateSpread: 0.2, Checkpoint: true,
 		Need: jaypool.Resources{ProcessorsMilli: 7_700, MemoryMegabytes: 30_000},
 	}
-	of := func(s Shape, queue string, rate float64) Shape {
-		s.Queue, s.Pool, s.Rate, s.Policy = queue, "pool-"+queue, rate, policy
-		return s
+	of := func(l QueueLoad, queue string, rate float64) QueueLoad {
+		l.Queue, l.Pool, l.Rate, l.Policy = queue, "pool-"+queue, rate, policy
+		return l
 	}
 	bursts := SequentialBursts{
-		Shapes: []Shape{of(quick, "a", 9.07), of(large, "b", 1.06), of(quick, "c", 11.3), of(large, "d", 1.3)},
-		Width:  7 * time.Second, BaseShare: 0.05, Begin: warmUp, For: 34 * time.Second, Seed: seed,
+		QueueLoads: []QueueLoad{of(quick, "a", 9.07), of(large, "b", 1.06), of(quick, "c", 11.3), of(large, "d", 1.3)},
+		Width:      7 * time.Second, BaseShare: 0.05, Begin: warmUp, For: 34 * time.Second, Seed: seed,
 	}
 	load := Load{
 		Hosts: map[string]int{"pool-a": 9, "pool-b": 9, "pool-c": 11, "pool-d": 12}, Off: 8,
@@ -49,8 +49,8 @@
 // withRateFactor multiplies the arrival rates of all queues.
 func withRateFactor(times float64) func(*SequentialBursts, *Load) {
 	return func(b *SequentialBursts, l *Load) {
-		for n := range b.Shapes {
-			b.Shapes[n].Rate *= times
+		for n := range b.QueueLoads {
+			b.QueueLoads[n].Rate *= times
 		}
 		l.Until += 10 * time.Second
 	}
--- a/jayreplay/simulation.go
+++ b/jayreplay/simulation.go
@@ -124,7 +124,7 @@
 			id := taskID(a.Job.ID, step, index)
 			t := &task{need: decl.Need, longRunning: decl.LongRunning, checkpoint: decl.Checkpoint}
 			if !t.longRunning {
-				t.duration = a.Takes[step][index]
+				t.duration = a.Durations[step][index]
 			}
 			s.tasks[id] = t
 		}
--- a/jayreplay/simulation_test.go
+++ b/jayreplay/simulation_test.go
@@ -110,8 +110,8 @@
 	// for half a minute: a task was started only where it fitted at that moment.
 	is := is.New(t)
 	load := fourPeaks(1, func(bursts *SequentialBursts, l *Load) {
-		bursts.Shapes, bursts.Width = bursts.Shapes[:1], 20*time.Second
-		bursts.Shapes[0].Rate *= 3
+		bursts.QueueLoads, bursts.Width = bursts.QueueLoads[:1], 20*time.Second
+		bursts.QueueLoads[0].Rate *= 3
 		l.Hosts, l.Off = map[string]int{"pool-a": 6}, 0
 	})
 	most := jaypool.Resources{ProcessorsMilli: 5_000, MemoryMegabytes: instance.MemoryMegabytes * 4 / 5}
