--- a/jayreplay/load.go
+++ b/jayreplay/load.go
@@ -11,8 +11,8 @@
 type Load struct {
 	// Hosts is the number of instances in each pool at the start.
 	Hosts map[string]int
-	// Off is the number of instances that are switched off at the start.
-	Off int
+	// StandbyHosts is the number of instances that are on standby, switched off, at the start.
+	StandbyHosts int
 	// Size is the capacity of each instance.
 	Size jaypool.Resources
 	// MoveTime is how long the move of an instance to another pool takes.
@@ -26,8 +26,8 @@
 	Link float64
 	// Arrivals are the submitted jobs, ordered by time.
 	Arrivals []Arrival
-	// From is the time from which instance-seconds are counted.
-	From time.Duration
+	// MeasureFrom is the time from which instance-seconds are counted.
+	MeasureFrom time.Duration
 	// Until is the end of the simulation.
 	Until time.Duration
 }
--- a/jayreplay/loads_test.go
+++ b/jayreplay/loads_test.go
@@ -36,8 +36,8 @@
 		Width:      7 * time.Second, BaseShare: 0.05, Begin: warmUp, For: 34 * time.Second, Seed: seed,
 	}
 	load := Load{
-		Hosts: map[string]int{"pool-a": 9, "pool-b": 9, "pool-c": 11, "pool-d": 12}, Off: 8,
-		Size: instance, MoveTime: 1500 * time.Millisecond, From: warmUp, Until: warmUp + 48*time.Second,
+		Hosts: map[string]int{"pool-a": 9, "pool-b": 9, "pool-c": 11, "pool-d": 12}, StandbyHosts: 8,
+		Size: instance, MoveTime: 1500 * time.Millisecond, MeasureFrom: warmUp, Until: warmUp + 48*time.Second,
 	}
 	for _, change := range changes {
 		change(&bursts, &load)
--- a/jayreplay/simulation.go
+++ b/jayreplay/simulation.go
@@ -93,7 +93,7 @@
 			s.addHost(pool)
 		}
 	}
-	for range load.Off {
+	for range load.StandbyHosts {
 		s.addHost(standby)
 	}
 	return s
@@ -164,7 +164,7 @@
 
 // measureUsage adds one sample to the instance-seconds that were available and used.
 func (s *simulation) measureUsage() {
-	if s.clock.now < s.load.From {
+	if s.clock.now < s.load.MeasureFrom {
 		return
 	}
 	for _, h := range s.hosts {
--- a/jayreplay/simulation_test.go
+++ b/jayreplay/simulation_test.go
@@ -63,7 +63,7 @@
 	half := jaypool.Resources{ProcessorsMilli: 5_000, MemoryMegabytes: instance.MemoryMegabytes / 2}
 	most := jaypool.Resources{ProcessorsMilli: 5_000, MemoryMegabytes: instance.MemoryMegabytes * 4 / 5}
 	load := Load{
-		Hosts: map[string]int{"seats": 2}, Off: 20, Size: instance, MoveTime: 1500 * time.Millisecond, Until: 20 * time.Second,
+		Hosts: map[string]int{"seats": 2}, StandbyHosts: 20, Size: instance, MoveTime: 1500 * time.Millisecond, Until: 20 * time.Second,
 		Arrivals: []Arrival{
 			longRunningJob("half", "seats", time.Second, 6, half, 1),
 			longRunningJob("most", "seats", 5*time.Second, 4, most, 0),
@@ -112,7 +112,7 @@
 	load := fourPeaks(1, func(bursts *SequentialBursts, l *Load) {
 		bursts.QueueLoads, bursts.Width = bursts.QueueLoads[:1], 20*time.Second
 		bursts.QueueLoads[0].Rate *= 3
-		l.Hosts, l.Off = map[string]int{"pool-a": 6}, 0
+		l.Hosts, l.StandbyHosts = map[string]int{"pool-a": 6}, 0
 	})
 	most := jaypool.Resources{ProcessorsMilli: 5_000, MemoryMegabytes: instance.MemoryMegabytes * 4 / 5}
 	load.Arrivals = append(load.Arrivals, longRunningJob("most", "pool-a", warmUp+15*time.Second, 3, most, 1))
