--- a/jayreplay/crash_test.go
+++ b/jayreplay/crash_test.go
@@ -39,7 +39,7 @@
 func logResult(t *testing.T, r Result) {
 	t.Helper()
 	most, given, wrongly := 0, time.Duration(0), 0
-	for _, j := range r.Sound().Jobs {
+	for _, j := range r.NotCrashing().Jobs {
 		if j.Failed > 0 {
 			wrongly++
 		}
@@ -48,10 +48,10 @@
 		most = max(most, j.Starts)
 		given = max(given, j.Failed-j.Submitted)
 	}
-	t.Logf("workers crashed %d, most starts of a task %d, longest time until given up %v; jobs wrongly given up %d of %d", r.Crashes, most, given, wrongly, len(r.Sound().Jobs))
+	t.Logf("workers crashed %d, most starts of a task %d, longest time until given up %v; jobs wrongly given up %d of %d", r.Crashes, most, given, wrongly, len(r.NotCrashing().Jobs))
 	for _, queue := range []string{"a", "b", "c", "d"} {
-		sound := r.Sound().Of(queue)
-		t.Logf("queue %s: in time %.3f, served %.3f", queue, sound.InTime(), sound.Served())
+		notCrashing := r.NotCrashing().Of(queue)
+		t.Logf("queue %s: in time %.3f, served %.3f", queue, notCrashing.InTime(), notCrashing.Served())
 	}
 }
 
@@ -70,10 +70,10 @@
 				is.True(j.Failed > 0)
 			}
 			is.True(r.Crashes <= maxStarts*jobs)
-			for _, j := range r.Sound().Jobs {
+			for _, j := range r.NotCrashing().Jobs {
 				is.Equal(j.Failed, time.Duration(0)) // jobs that crash no worker are not given up
 			}
-			is.True(r.Sound().Of("a").Served() >= 0.9)
+			is.True(r.NotCrashing().Of("a").Served() >= 0.9)
 			for _, queue := range []string{"b", "c", "d"} {
 				is.Equal(r.Of(queue).Served(), 1.0) // the other queues are not affected
 			}
--- a/jayreplay/result.go
+++ b/jayreplay/result.go
@@ -82,8 +82,8 @@
 	return r
 }
 
-// Sound returns the result for the jobs that do not crash workers.
-func (r Result) Sound() Result {
+// NotCrashing returns the result for the jobs that do not crash workers.
+func (r Result) NotCrashing() Result {
 	r.Jobs = slices.DeleteFunc(slices.Clone(r.Jobs), func(j JobResult) bool { return j.Crashes })
 	return r
 }
