--- a/jaydemo/demo.go
+++ b/jaydemo/demo.go
@@ -185,7 +185,7 @@
 	for _, r := range d.running {
 		_, _ = fmt.Fprintf(d.options.Out, "callers: http://%s\noperators: http://%s\n", r.options.CallerAddr, r.options.OperatorAddr)
 	}
-	d.platform.Fleet.Judge()
+	d.platform.Fleet.CountBreaches()
 	d.callers = newCallers(d.options.Profile, d.balancer, d.platform.Fleet.Ledger)
 	var load, script sync.WaitGroup
 	loading, stopLoad := context.WithCancel(context.Background())
--- a/jaystandin/fleet.go
+++ b/jaystandin/fleet.go
@@ -74,9 +74,9 @@
 	return w, nil
 }
 
-// Judge starts the counting of budget breaches. It is called once all workers have been
+// CountBreaches starts the counting of budget breaches. It is called once all workers have been
 // added.
-func (f *Fleet) Judge() {
+func (f *Fleet) CountBreaches() {
 	f.mu.Lock()
 	f.countsBreaches = true
 	f.mu.Unlock()
