--- a/jaydemo/script.go
+++ b/jaydemo/script.go
@@ -32,7 +32,7 @@
 	d.changeConfiguration(ctx)
 	jayclock.Sleep(ctx, rackDownTime)
 	for _, id := range rack {
-		if err := d.platform.Fleet.Revive(id); err != nil {
+		if err := d.platform.Fleet.Restart(id); err != nil {
 			d.options.Logger.Error(err, "worker not revived")
 		}
 	}
--- a/jaystandin/fleet.go
+++ b/jaystandin/fleet.go
@@ -125,7 +125,7 @@
 }
 
 func (f *Fleet) restartAfterReboot(id string) {
-	if f.Revive(id) != nil {
+	if f.Restart(id) != nil {
 		return
 	}
 	f.mu.Lock()
@@ -156,8 +156,8 @@
 	}
 }
 
-// Revive restarts a worker that was killed. It does nothing if the worker is up.
-func (f *Fleet) Revive(id string) error {
+// Restart restarts a worker that was killed. It does nothing if the worker is up.
+func (f *Fleet) Restart(id string) error {
 	w, ok := f.Worker(id)
 	if !ok {
 		return fmt.Errorf("no worker %s", id)
--- a/jaystandin/server.go
+++ b/jaystandin/server.go
@@ -109,7 +109,7 @@
 		p.Log.Expire(string(ctx.QueryArgs().Peek("stream")), queryNumber(ctx, "before"))
 		respond(ctx, struct{}{}, nil)
 	case "revive":
-		respond(ctx, struct{}{}, asRefused(p.Fleet.Revive(worker)))
+		respond(ctx, struct{}{}, asRefused(p.Fleet.Restart(worker)))
 	default:
 		ctx.Error("faults are log, expire, kill, revive, worker/ID", fasthttp.StatusNotFound)
 	}
