--- a/jaydemo/demo.go
+++ b/jaydemo/demo.go
@@ -68,13 +68,13 @@
 	Logger logr.Logger
 }
 
-// ErrBreak is the error for an unknown value of Options.Break.
-var ErrBreak = errors.New("break is none of runTwice, overlook")
+// ErrUnknownViolation is the error for an unknown value of Options.Break.
+var ErrUnknownViolation = errors.New("break is none of runTwice, overlook")
 
 // Run runs the demo and returns its report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Break != "" && o.Break != "runTwice" && o.Break != "overlook" {
-		return nil, ErrBreak
+		return nil, ErrUnknownViolation
 	}
 	d := &demo{options: o, balancer: &balancer{}}
 	defer d.close()
--- a/jaydemo/demo_test.go
+++ b/jaydemo/demo_test.go
@@ -30,7 +30,7 @@
 	})
 	t.Run("unknown violation", func(t *testing.T) {
 		_, err := Run(context.Background(), Options{Profile: Mesob(), Break: "everything"})
-		is.New(t).True(errors.Is(err, ErrBreak))
+		is.New(t).True(errors.Is(err, ErrUnknownViolation))
 	})
 }
 
