--- a/jayaccount/account.go
+++ b/jayaccount/account.go
@@ -107,7 +107,7 @@
 const maxStateAge = 1200 * time.Millisecond
 
 // Account computes the tables from the log lines read so far.
-func (l *Ledger) Account() Account {
+func (l *LogReader) Account() Account {
 	slices.SortStableFunc(l.states, func(a, b poolState) int { return a.at.Compare(b.at) })
 	byPool := map[string][]poolState{}
 	for _, s := range l.states {
@@ -116,7 +116,7 @@
 	return Account{Queues: l.queueRows(byPool), Pools: poolRows(byPool), Seconds: l.secondRows(), Best: l.best()}
 }
 
-func (l *Ledger) queueRows(byPool map[string][]poolState) []QueueRow {
+func (l *LogReader) queueRows(byPool map[string][]poolState) []QueueRow {
 	rows := map[string]*QueueRow{}
 	for _, j := range l.jobs {
 		row, known := rows[j.queue]
@@ -221,7 +221,7 @@
 	return rows
 }
 
-func (l *Ledger) secondRows() []SecondRow {
+func (l *LogReader) secondRows() []SecondRow {
 	var first time.Time
 	for _, j := range l.jobs {
 		if !j.submitted.IsZero() && (first.IsZero() || j.submitted.Before(first)) {
--- a/jayaccount/account_test.go
+++ b/jayaccount/account_test.go
@@ -38,7 +38,7 @@
 
 func accountOf(t *testing.T, log string) Account {
 	t.Helper()
-	l := NewLedger()
+	l := NewLogReader()
 	is.New(t).NoErr(l.Read(strings.NewReader(log)))
 	return l.Account()
 }
@@ -149,7 +149,7 @@
 }
 
 func ExampleAccount_Write() {
-	l := NewLedger()
+	l := NewLogReader()
 	_ = l.Read(strings.NewReader(stateLine(0, 1, 1, 0, 0, 0, 0, 500, 1000) + jobLines("a", "q", 100, 300, 400, 2000, 1)))
 	var out bytes.Buffer
 	_ = l.Account().Write(&out)
--- a/jayaccount/best.go
+++ b/jayaccount/best.go
@@ -21,7 +21,7 @@
 
 // best computes the bound by serving the jobs in the order of their target times,
 // with the capacity of all instances.
-func (l *Ledger) best() Best {
+func (l *LogReader) best() Best {
 	var jobs []*job
 	var b Best
 	for _, j := range l.jobs {
@@ -41,7 +41,7 @@
 // totalCores returns the largest number of cores that all instances had together,
 // on or off. Instances that are off are assumed to have the average size of those
 // that are on.
-func (l *Ledger) totalCores() float64 {
+func (l *LogReader) totalCores() float64 {
 	on, milli := map[string]int{}, map[string]int64{}
 	most := 0.0
 	for _, s := range l.states {
--- a/jayaccount/read.go
+++ b/jayaccount/read.go
@@ -41,8 +41,8 @@
 	RoomMilli   int64 `json:"roomMilli"`
 }
 
-// Ledger collects the log lines that an account is computed from.
-type Ledger struct {
+// LogReader reads the log lines that an account is computed from.
+type LogReader struct {
 	jobs   map[string]*job
 	states []poolState
 }
@@ -80,14 +80,14 @@
 	line
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{jobs: map[string]*job{}}
+// NewLogReader returns a reader that has read no lines.
+func NewLogReader() *LogReader {
+	return &LogReader{jobs: map[string]*job{}}
 }
 
 // Read adds the lines of a log. Log collectors may have put a prefix before a line;
 // lines without a JSON object are skipped.
-func (l *Ledger) Read(log io.Reader) error {
+func (l *LogReader) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
@@ -105,7 +105,7 @@
 }
 
 // add adds one line.
-func (l *Ledger) add(read *line) {
+func (l *LogReader) add(read *line) {
 	switch read.Message {
 	case "pool state":
 		l.states = append(l.states, poolState{at: read.Time, line: *read})
@@ -136,7 +136,7 @@
 }
 
 // job returns the job with the given ID and creates it if it is not known yet.
-func (l *Ledger) job(id string, read *line) *job {
+func (l *LogReader) job(id string, read *line) *job {
 	j, known := l.jobs[id]
 	if !known {
 		j = &job{tasks: map[string]bool{}}
--- a/jaycli/account.go
+++ b/jaycli/account.go
@@ -24,9 +24,9 @@
 }
 
 func account(_ context.Context, c *cli.Command) error {
-	ledger := jayaccount.NewLedger()
+	reader := jayaccount.NewLogReader()
 	if c.Args().Len() == 0 {
-		if err := ledger.Read(c.Root().Reader); err != nil {
+		if err := reader.Read(c.Root().Reader); err != nil {
 			return fmt.Errorf("standard input: %w", err)
 		}
 	}
@@ -35,13 +35,13 @@
 		if err != nil {
 			return err
 		}
-		err = ledger.Read(file)
+		err = reader.Read(file)
 		_ = file.Close()
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	sums := ledger.Account()
+	sums := reader.Account()
 	if name := c.String("plot"); name != "" {
 		if err := writePlotFile(name, sums); err != nil {
 			return err
