--- a/jayaccount/account.go
+++ b/jayaccount/account.go
@@ -44,14 +44,14 @@
 	Late    int
 	Refused int
 	Open    int
-	// Stored is the time from submission to acceptance, Taken the time from
-	// acceptance until the pool's owner declared the job, Waited the time during
-	// which a task that was ready to run had no worker, by cause, and Shown the
+	// AcceptDelay is the time from submission to acceptance, DeclareDelay the time
+	// from acceptance until the pool's owner declared the job, Waited the time during
+	// which a task that was ready to run had no worker, by cause, and RecordDelay the
 	// time from the job's end until the end was recorded.
-	Stored time.Duration
-	Taken  time.Duration
-	Waited [causeCount]time.Duration
-	Shown  time.Duration
+	AcceptDelay  time.Duration
+	DeclareDelay time.Duration
+	Waited       [causeCount]time.Duration
+	RecordDelay  time.Duration
 	// Starts is the number of runs, Repeats the number of those whose task had run
 	// before.
 	Starts  int
@@ -142,10 +142,10 @@
 	r.Starts += j.starts
 	r.Repeats += j.repeats
 	if !j.accepted.IsZero() && !j.submitted.IsZero() {
-		r.Stored += j.accepted.Sub(j.submitted)
+		r.AcceptDelay += j.accepted.Sub(j.submitted)
 	}
 	if !j.accepted.IsZero() && j.declared.After(j.accepted) {
-		r.Taken += j.declared.Sub(j.accepted)
+		r.DeclareDelay += j.declared.Sub(j.accepted)
 	}
 	for cause, d := range waitsOf(j, byPool[j.pool]) {
 		r.Waited[cause] += d
@@ -158,7 +158,7 @@
 		r.Late++
 	}
 	if j.recorded.After(j.ended) {
-		r.Shown += j.recorded.Sub(j.ended)
+		r.RecordDelay += j.recorded.Sub(j.ended)
 	}
 }
 
@@ -285,11 +285,11 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "queue\tjobs\tlate\trefused\topen\tstored s\ttaken s\ton the way s\telsewhere s\tfull s\tunknown s\tshown s\tstarts\trepeats\t")
 	for _, r := range a.Queues {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t", r.Queue, r.Jobs, r.Late, r.Refused, r.Open, r.Stored.Seconds(), r.Taken.Seconds())
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t", r.Queue, r.Jobs, r.Late, r.Refused, r.Open, r.AcceptDelay.Seconds(), r.DeclareDelay.Seconds())
 		for _, d := range r.Waited {
 			fmt.Fprintf(w, "%.1f\t", d.Seconds())
 		}
-		fmt.Fprintf(w, "%.1f\t%d\t%d\t\n", r.Shown.Seconds(), r.Starts, r.Repeats)
+		fmt.Fprintf(w, "%.1f\t%d\t%d\t\n", r.RecordDelay.Seconds(), r.Starts, r.Repeats)
 	}
 	fmt.Fprintln(w, "\npool\ton s\tused s\tidle s\tlasting s\tleaving s\t")
 	for _, r := range a.Pools {
--- a/jayaccount/account_test.go
+++ b/jayaccount/account_test.go
@@ -51,10 +51,10 @@
 		r := a.Queues[0]
 		is.Equal(r.Jobs, 1)
 		is.Equal(r.Late, 0)
-		is.Equal(r.Stored, 100*time.Millisecond)
-		is.Equal(r.Taken, 20*time.Millisecond)
+		is.Equal(r.AcceptDelay, 100*time.Millisecond)
+		is.Equal(r.DeclareDelay, 20*time.Millisecond)
 		is.Equal(r.Waited[Full], 300*time.Millisecond)
-		is.Equal(r.Shown, 50*time.Millisecond)
+		is.Equal(r.RecordDelay, 50*time.Millisecond)
 		is.Equal(r.Starts, 1)
 	})
 	t.Run("late, refused and open jobs", func(t *testing.T) {
