--- a/jayaccount/account.go
+++ b/jayaccount/account.go
@@ -15,10 +15,10 @@
 
 // Causes of waiting.
 const (
-	// OnTheWay means that instances were being moved to the pool.
-	OnTheWay Cause = iota
-	// Elsewhere means that instances were off, or idle in other pools.
-	Elsewhere
+	// MovingIn means that instances were being moved to the pool.
+	MovingIn Cause = iota
+	// OutsidePool means that instances were off, or idle in other pools.
+	OutsidePool
 	// Full means that all instances were in use.
 	Full
 	// Unknown means that no recent state of the pool was logged, for example
@@ -193,9 +193,9 @@
 	s := states[n-1]
 	switch {
 	case s.Coming > 0:
-		return OnTheWay
+		return MovingIn
 	case s.Off > 0:
-		return Elsewhere
+		return OutsidePool
 	default:
 		return Full
 	}
--- a/jayaccount/account_test.go
+++ b/jayaccount/account_test.go
@@ -73,8 +73,8 @@
 		log := stateLine(0, 2, 1, 0, 0, 1, 0, 0, 1000) + stateLine(190, 2, 1, 0, 0, 0, 3, 0, 1000) +
 			jobLines("a", "q", 0, 300, 100, 900, 1) + jobLines("late", "q", 3000, 100, 100, 900, 1)
 		r := accountOf(t, log).Queues[0]
-		is.Equal(r.Waited[OnTheWay], 100*time.Millisecond)
-		is.Equal(r.Waited[Elsewhere], 200*time.Millisecond)
+		is.Equal(r.Waited[MovingIn], 100*time.Millisecond)
+		is.Equal(r.Waited[OutsidePool], 200*time.Millisecond)
 		is.Equal(r.Waited[Unknown], 100*time.Millisecond) // the last state is older than maxStateAge
 	})
 	t.Run("repeated run of a task", func(t *testing.T) {
