--- a/jayaccount/account.go
+++ b/jayaccount/account.go
@@ -95,12 +95,12 @@
 	Queues  []QueueRow
 	Pools   []PoolRow
 	Seconds []SecondRow
-	// Best is an upper bound of the jobs that could have been done in time.
-	Best Best
+	// InTimeBound is an upper bound of the jobs that could have been done in time.
+	InTimeBound InTimeBound
 }
 
 // timeStep is the resolution at which waits are attributed to causes, and the step
-// of the simulation that computes Best.
+// of the simulation that computes InTimeBound.
 const timeStep = 20 * time.Millisecond
 
 // maxStateAge is the age up to which a logged pool state explains a wait.
@@ -113,7 +113,7 @@
 	for _, s := range l.states {
 		byPool[s.Pool] = append(byPool[s.Pool], s)
 	}
-	return Account{Queues: l.queueRows(byPool), Pools: poolRows(byPool), Seconds: l.secondRows(), Best: l.best()}
+	return Account{Queues: l.queueRows(byPool), Pools: poolRows(byPool), Seconds: l.secondRows(), InTimeBound: l.inTimeBound()}
 }
 
 func (l *LogReader) queueRows(byPool map[string][]poolState) []QueueRow {
@@ -299,6 +299,6 @@
 	for _, r := range a.Seconds {
 		fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t\n", r.Second, r.Jobs, r.Late, r.Need, r.On, r.Off)
 	}
-	fmt.Fprintf(w, "\njobs with a time: %d; in time: %d; in time at best, if every instance served every pool: %d\n", a.Best.Jobs, a.Best.InTime, a.Best.Possible)
+	fmt.Fprintf(w, "\njobs with a time: %d; in time: %d; in time at best, if every instance served every pool: %d\n", a.InTimeBound.Jobs, a.InTimeBound.InTime, a.InTimeBound.Possible)
 	return w.Flush()
 }
--- a/jayaccount/account_test.go
+++ b/jayaccount/account_test.go
@@ -115,16 +115,16 @@
 	cases := []struct {
 		name string
 		log  string
-		want Best
+		want InTimeBound
 	}{
-		{"enough capacity for all jobs", jobLines("a", "q", 0, 0, 900, 2000, 4) + jobLines("b", "q", 0, 0, 900, 2000, 3), Best{Jobs: 2, InTime: 2, Possible: 2}},
-		{"late job that could have been in time", jobLines("a", "q", 0, 1500, 900, 2000, 4), Best{Jobs: 1, InTime: 0, Possible: 1}},
-		{"more work than capacity", jobLines("a", "q", 0, 0, 900, 1100, 4) + jobLines("b", "q", 0, 0, 1900, 1200, 4), Best{Jobs: 2, InTime: 1, Possible: 1}},
-		{"jobs without a target time are not counted", logLine(10, `"message":"job accepted","job":"a","queue":"q","pool":"p","took":"1ms"`), Best{}},
+		{"enough capacity for all jobs", jobLines("a", "q", 0, 0, 900, 2000, 4) + jobLines("b", "q", 0, 0, 900, 2000, 3), InTimeBound{Jobs: 2, InTime: 2, Possible: 2}},
+		{"late job that could have been in time", jobLines("a", "q", 0, 1500, 900, 2000, 4), InTimeBound{Jobs: 1, InTime: 0, Possible: 1}},
+		{"more work than capacity", jobLines("a", "q", 0, 0, 900, 1100, 4) + jobLines("b", "q", 0, 0, 1900, 1200, 4), InTimeBound{Jobs: 2, InTime: 1, Possible: 1}},
+		{"jobs without a target time are not counted", logLine(10, `"message":"job accepted","job":"a","queue":"q","pool":"p","took":"1ms"`), InTimeBound{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(accountOf(t, room+c.log).Best, c.want)
+			is.New(t).Equal(accountOf(t, room+c.log).InTimeBound, c.want)
 		})
 	}
 }
--- a/jayaccount/best.go
+++ b/jayaccount/best.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Best compares the jobs that were done in time with an upper bound.
-type Best struct {
+// InTimeBound compares the jobs that were done in time with an upper bound.
+type InTimeBound struct {
 	// Jobs is the number of accepted jobs that were done and have a target time.
 	// InTime of them were done within it.
 	Jobs   int
@@ -19,11 +19,11 @@
 	Possible int
 }
 
-// best computes the bound by serving the jobs in the order of their target times,
+// inTimeBound computes the bound by serving the jobs in the order of their target times,
 // with the capacity of all instances.
-func (l *LogReader) best() Best {
+func (l *LogReader) inTimeBound() InTimeBound {
 	var jobs []*job
-	var b Best
+	var b InTimeBound
 	for _, j := range l.jobs {
 		if j.submitted.IsZero() || j.accepted.IsZero() || j.within <= 0 || j.work <= 0 || j.outcome != "done" {
 			continue
