--- a/jayapi/client.go
+++ b/jayapi/client.go
@@ -59,8 +59,8 @@
 
 // Publish replaces the configuration. It is refused if another revision than
 // p.Replaces is in force.
-func (c *Client) Publish(p Publish) (*Decided, error) {
-	var d Decided
+func (c *Client) Publish(p Publish) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/configuration", p, &d)
 }
 
@@ -72,32 +72,32 @@
 }
 
 // StartWave starts a maintenance wave. Without pools, the wave covers all pools.
-func (c *Client) StartWave(w Wave) (*Decided, error) {
-	var d Decided
+func (c *Client) StartWave(w Wave) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/waves", w, &d)
 }
 
 // SetWave changes the phase of a wave; verb is pause, resume or cancel.
-func (c *Client) SetWave(wave, verb string) (*Decided, error) {
-	var d Decided
+func (c *Client) SetWave(wave, verb string) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/waves/"+url.PathEscape(wave)+"/"+verb, struct{}{}, &d)
 }
 
 // Move starts the move of an instance to another pool.
-func (c *Client) Move(m Move) (*Decided, error) {
-	var d Decided
+func (c *Client) Move(m Move) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/moves", m, &d)
 }
 
 // ReleaseJob releases a parked job, so that its tasks are placed again.
-func (c *Client) ReleaseJob(job string) (*Decided, error) {
-	var d Decided
+func (c *Client) ReleaseJob(job string) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/jobs/"+url.PathEscape(job)+"/release", struct{}{}, &d)
 }
 
 // Quarantine changes the quarantine of an instance; verb is set or lift.
-func (c *Client) Quarantine(instance, verb string) (*Decided, error) {
-	var d Decided
+func (c *Client) Quarantine(instance, verb string) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/quarantine/"+url.PathEscape(instance)+"/"+verb, struct{}{}, &d)
 }
 
--- a/jayapi/configuration.go
+++ b/jayapi/configuration.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(ctx, Decided{Offset: outcome.Offset, Revision: outcome.Offset + 1})
+	return writeJSON(ctx, WriteResult{Offset: outcome.Offset, Revision: outcome.Offset + 1})
 }
 
 func (s *Server) handleInForce(ctx *fasthttp.RequestCtx) error {
--- a/jayapi/operations.go
+++ b/jayapi/operations.go
@@ -62,5 +62,5 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(ctx, Decided{Offset: outcome.Offset})
+	return writeJSON(ctx, WriteResult{Offset: outcome.Offset})
 }
--- a/jayapi/types.go
+++ b/jayapi/types.go
@@ -89,8 +89,8 @@
 	Document string `json:"document"`
 }
 
-// Decided is the response to a write that was accepted.
-type Decided struct {
+// WriteResult is the response to a write that was accepted.
+type WriteResult struct {
 	Offset   uint64 `json:"offset"`
 	Revision uint64 `json:"revision,omitempty"`
 }
--- a/jayapi/waves.go
+++ b/jayapi/waves.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(ctx, Decided{Offset: outcome.Offset})
+	return writeJSON(ctx, WriteResult{Offset: outcome.Offset})
 }
 
 func (s *Server) allPools() []string {
@@ -64,5 +64,5 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(ctx, Decided{Offset: outcome.Offset})
+	return writeJSON(ctx, WriteResult{Offset: outcome.Offset})
 }
--- a/jaycli/apply.go
+++ b/jaycli/apply.go
@@ -45,16 +45,16 @@
 	if err != nil {
 		return err
 	}
-	decided, err := client.Publish(jayapi.Publish{Replaces: replaces, Message: c.String("message"), Document: string(document)})
+	result, err := client.Publish(jayapi.Publish{Replaces: replaces, Message: c.String("message"), Document: string(document)})
 	if err != nil {
 		return withConflictDiff(err, path, string(document))
 	}
 	if c.Bool("wait") {
-		if err := awaitInForce(ctx, c, client, decided.Revision); err != nil {
+		if err := awaitInForce(ctx, c, client, result.Revision); err != nil {
 			return err
 		}
 	}
-	return show(c, decided, func(p *printer) { p.row("accepted as revision", decided.Revision) })
+	return show(c, result, func(p *printer) { p.row("accepted as revision", result.Revision) })
 }
 
 func revisionToReplace(c *cli.Command, client *jayapi.Client) (uint64, error) {
--- a/jaycli/operations.go
+++ b/jaycli/operations.go
@@ -20,11 +20,11 @@
 				return usageError("move takes an INSTANCE and a POOL")
 			}
 			instance, pool := c.Args().Get(0), c.Args().Get(1)
-			decided, err := operatorClient(c).Move(jayapi.Move{Instance: instance, Pool: pool})
+			result, err := operatorClient(c).Move(jayapi.Move{Instance: instance, Pool: pool})
 			if err != nil {
 				return err
 			}
-			return show(c, decided, func(p *printer) { p.row(instance, "is draining for pool", pool) })
+			return show(c, result, func(p *printer) { p.row(instance, "is draining for pool", pool) })
 		},
 	})
 }
@@ -43,11 +43,11 @@
 				if err != nil {
 					return err
 				}
-				decided, err := operatorClient(c).ReleaseJob(job)
+				result, err := operatorClient(c).ReleaseJob(job)
 				if err != nil {
 					return err
 				}
-				return show(c, decided, func(p *printer) { p.row("job", job, "released") })
+				return show(c, result, func(p *printer) { p.row("job", job, "released") })
 			},
 		})},
 	})
@@ -72,11 +72,11 @@
 			if err != nil {
 				return err
 			}
-			decided, err := operatorClient(c).Quarantine(instance, act)
+			result, err := operatorClient(c).Quarantine(instance, act)
 			if err != nil {
 				return err
 			}
-			return show(c, decided, func(p *printer) { p.row("quarantine of", instance, act) })
+			return show(c, result, func(p *printer) { p.row("quarantine of", instance, act) })
 		},
 	})
 }
--- a/jaycli/wave.go
+++ b/jaycli/wave.go
@@ -36,11 +36,11 @@
 	if err != nil {
 		return err
 	}
-	decided, err := operatorClient(c).StartWave(jayapi.Wave{Wave: wave, Pools: c.StringSlice("pool")})
+	result, err := operatorClient(c).StartWave(jayapi.Wave{Wave: wave, Pools: c.StringSlice("pool")})
 	if err != nil {
 		return err
 	}
-	return show(c, decided, func(p *printer) { p.row("wave", wave, "started") })
+	return show(c, result, func(p *printer) { p.row("wave", wave, "started") })
 }
 
 func wavePhaseCommand(act, about string) *cli.Command {
@@ -54,11 +54,11 @@
 			if err != nil {
 				return err
 			}
-			decided, err := operatorClient(c).SetWave(wave, act)
+			result, err := operatorClient(c).SetWave(wave, act)
 			if err != nil {
 				return err
 			}
-			return show(c, decided, func(p *printer) { p.row("wave", wave, act+" accepted") })
+			return show(c, result, func(p *printer) { p.row("wave", wave, act+" accepted") })
 		},
 	})
 }
