--- a/jayapi/api_test.go
+++ b/jayapi/api_test.go
@@ -93,9 +93,9 @@
 	return b, c
 }
 
-func requireRefused(t *testing.T, err error) *Refused {
+func requireResponseError(t *testing.T, err error) *ResponseError {
 	t.Helper()
-	var r *Refused
+	var r *ResponseError
 	if !errors.As(err, &r) {
 		t.Fatalf("%v is no refusal", err)
 	}
@@ -107,7 +107,7 @@
 		is := is.New(t)
 		_, c := newConfiguredAPI(t)
 		_, err := c.Publish(Publish{Replaces: 0, Message: "late", Document: document})
-		r := requireRefused(t, err)
+		r := requireResponseError(t, err)
 		is.Equal(r.Status, 409)
 		is.Equal(r.Problem.InForce.Revision, uint64(1))
 		is.Equal(r.Problem.InForce.Author, "aster")
@@ -117,14 +117,14 @@
 		_, c := newConfiguredAPI(t)
 		_, err := c.Publish(Publish{Replaces: 1, Document: `{"pools": 3}`})
 		is.True(err != nil)
-		is.Equal(requireRefused(t, err).Status, 422)
+		is.Equal(requireResponseError(t, err).Status, 422)
 	})
 	t.Run("an unavailable log leaves the outcome unknown", func(t *testing.T) {
 		is := is.New(t)
 		b, c := newConfiguredAPI(t)
 		b.down = true
 		_, err := c.Publish(Publish{Replaces: 1, Document: document})
-		r := requireRefused(t, err)
+		r := requireResponseError(t, err)
 		is.Equal(r.Status, 504)
 		is.True(r.Problem.MayHaveTakenEffect)
 	})
@@ -144,7 +144,7 @@
 	_, err := c.StartWave(Wave{Wave: "w"})
 	is.NoErr(err)
 	_, err = c.StartWave(Wave{Wave: "w2", Pools: []string{"seats"}})
-	is.Equal(requireRefused(t, err).Status, 422) // the pool already belongs to a wave
+	is.Equal(requireResponseError(t, err).Status, 422) // the pool already belongs to a wave
 	for _, verb := range []string{"pause", "resume", "cancel"} {
 		_, err = c.SetWave("w", verb)
 		is.NoErr(err)
@@ -152,7 +152,7 @@
 	_, err = c.SetWave("w", "resume")
 	is.True(err != nil)
 	_, err = c.SetWave("w", "explode")
-	is.Equal(requireRefused(t, err).Status, 400)
+	is.Equal(requireResponseError(t, err).Status, 400)
 	status, err := c.Status()
 	is.NoErr(err)
 	is.Equal(status.Waves[0].Phase, "cancelled")
@@ -191,7 +191,7 @@
 	is.Equal(answer.Rule, "read")
 	is.Equal(answer.Traces[0].Why, "method")
 	_, err = c.Explain(Explain{Path: "/", Time: "noon"})
-	is.Equal(requireRefused(t, err).Status, 400)
+	is.Equal(requireResponseError(t, err).Status, 400)
 }
 
 func TestPlanChangesNoState(t *testing.T) {
@@ -211,13 +211,13 @@
 	is := is.New(t)
 	_, base := newAPI(t, "secret")
 	_, err := NewClient(base, "", "a").Status()
-	is.Equal(requireRefused(t, err).Status, 401)
+	is.Equal(requireResponseError(t, err).Status, 401)
 	_, err = NewClient(base, "wrong", "a").Status()
-	is.Equal(requireRefused(t, err).Status, 401)
+	is.Equal(requireResponseError(t, err).Status, 401)
 	_, err = NewClient(base, "secret", "a").Status()
 	is.NoErr(err)
 	_, err = NewClient(base, "secret", "").StartWave(Wave{Wave: "w"})
-	is.Equal(requireRefused(t, err).Status, 400) // a write must identify the actor
+	is.Equal(requireResponseError(t, err).Status, 400) // a write must identify the actor
 	status, _, err := fasthttp.Get(nil, base+"/healthz")
 	is.NoErr(err)
 	is.Equal(status, 200)
--- a/jayapi/client.go
+++ b/jayapi/client.go
@@ -12,15 +12,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Refused is the error of a call to which the entry responded with a problem.
-type Refused struct {
+// ResponseError is the error of a call to which the entry responded with a problem.
+type ResponseError struct {
 	Status  int
 	Problem Problem
 }
 
 // Error returns the problem's message.
-func (r *Refused) Error() string {
-	return r.Problem.Error
+func (e *ResponseError) Error() string {
+	return e.Problem.Error
 }
 
 // ErrNoEntry is returned if the entry does not respond.
@@ -167,9 +167,9 @@
 	if resp.StatusCode() == fasthttp.StatusOK {
 		return json.Unmarshal(resp.Body(), into)
 	}
-	refused := &Refused{Status: resp.StatusCode()}
-	if err := json.Unmarshal(resp.Body(), &refused.Problem); err != nil {
-		refused.Problem.Error = strings.TrimSpace(string(resp.Body()))
+	responseError := &ResponseError{Status: resp.StatusCode()}
+	if err := json.Unmarshal(resp.Body(), &responseError.Problem); err != nil {
+		responseError.Problem.Error = strings.TrimSpace(string(resp.Body()))
 	}
-	return refused
+	return responseError
 }
--- a/jaycli/apply.go
+++ b/jaycli/apply.go
@@ -72,11 +72,11 @@
 // force and the refused one, so that neither change is lost. Other errors are
 // returned unchanged.
 func withConflictDiff(err error, path, document string) error {
-	var refused *jayapi.Refused
-	if !errors.As(err, &refused) || refused.Problem.InForce == nil {
+	var responseError *jayapi.ResponseError
+	if !errors.As(err, &responseError) || responseError.Problem.InForce == nil {
 		return err
 	}
-	other := refused.Problem.InForce
+	other := responseError.Problem.InForce
 	diff, diffErr := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A:        difflib.SplitLines(other.Document),
 		B:        difflib.SplitLines(document),
