--- a/jayapi/client.go
+++ b/jayapi/client.go
@@ -66,8 +66,8 @@
 
 // InForce returns the revision that each live entry has in force, and whether all
 // of them have reached the given one.
-func (c *Client) InForce(revision uint64) (*InForce, error) {
-	var f InForce
+func (c *Client) InForce(revision uint64) (*RevisionStatus, error) {
+	var f RevisionStatus
 	return &f, c.get("/v1/inForce?revision="+strconv.FormatUint(revision, 10), &f)
 }
 
--- a/jayapi/configuration.go
+++ b/jayapi/configuration.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	answer := InForce{Revision: revision, Entries: s.backend.Revisions(), Everywhere: true}
+	answer := RevisionStatus{Revision: revision, Entries: s.backend.Revisions(), Everywhere: true}
 	for _, in := range answer.Entries {
 		answer.Everywhere = answer.Everywhere && in >= revision
 	}
--- a/jayapi/types.go
+++ b/jayapi/types.go
@@ -104,8 +104,8 @@
 	InForce *Configuration `json:"inForce,omitempty"`
 }
 
-// InForce lists the revision that each live entry has in force.
-type InForce struct {
+// RevisionStatus lists the revision that each live entry has in force.
+type RevisionStatus struct {
 	Revision uint64            `json:"revision"`
 	Entries  map[string]uint64 `json:"entries"`
 	// Everywhere is set if all live entries have the revision, or a later one, in
