--- a/jaycli/serve_jobs.go
+++ b/jaycli/serve_jobs.go
@@ -30,7 +30,7 @@
 func serveJobs(ctx context.Context, c *cli.Command, options *jayoptions.Options) error {
 	logger, lines := jaylogger.NewBuffered(os.Stdout, options.LogFormat, options.LogLevel)
 	defer lines.Close(logFlushTimeout)
-	metrics := jaymetric.NewJobs()
+	metrics := jaymetric.NewJobMetrics()
 	metrics.Counter("jaythread_lost_log_lines_total", "Log lines that found no room.", func() float64 { return float64(lines.Lost()) })
 	if err := serveMetrics(options.JobService.MetricsAddr, metrics); err != nil {
 		return err
@@ -60,7 +60,7 @@
 
 // newNode returns an entry with the given settings that is connected to the
 // platform's services.
-func newNode(options *jayoptions.Options, logger logr.Logger, metrics *jaymetric.Jobs) *jaynode.Node {
+func newNode(options *jayoptions.Options, logger logr.Logger, metrics *jaymetric.JobMetrics) *jaynode.Node {
 	s := &options.JobService
 	return jaynode.New(jaynode.Settings{
 		Entry:           options.Entry,
@@ -98,7 +98,7 @@
 
 // serveMetrics serves the metrics at an address. It does nothing if the address is
 // empty.
-func serveMetrics(addr string, m *jaymetric.Jobs) error {
+func serveMetrics(addr string, m *jaymetric.JobMetrics) error {
 	if addr == "" {
 		return nil
 	}
@@ -115,7 +115,7 @@
 // closed.
 const metricsIdleTimeout = time.Minute
 
-func metricsHandler(m *jaymetric.Jobs) fasthttp.RequestHandler {
+func metricsHandler(m *jaymetric.JobMetrics) fasthttp.RequestHandler {
 	return fasthttpadaptor.NewFastHTTPHandler(m.Handler())
 }
 
--- a/jaymetric/jobs.go
+++ b/jaymetric/jobs.go
@@ -9,9 +9,9 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Jobs holds the metrics of the job service. The number of label values is bounded,
+// JobMetrics holds the metrics of the job service. The number of label values is bounded,
 // since pools and duties come from the operators' configuration.
-type Jobs struct {
+type JobMetrics struct {
 	Registry *prometheus.Registry
 	// Runtime holds the metrics of the Go runtime and the process.
 	Runtime           *prometheus.Registry
@@ -26,9 +26,9 @@
 	dutyChanges       *prometheus.CounterVec
 }
 
-// NewJobs returns the metrics of one entry in new registries.
-func NewJobs() *Jobs {
-	m := &Jobs{
+// NewJobMetrics returns the metrics of one entry in new registries.
+func NewJobMetrics() *JobMetrics {
+	m := &JobMetrics{
 		Registry:          prometheus.NewRegistry(),
 		Runtime:           prometheus.NewRegistry(),
 		answers:           newCounterVec("jaythread_job_answers_total", "Answers to callers by call and outcome.", "call", "outcome"),
@@ -59,53 +59,53 @@
 }
 
 // Answered records a response to a caller and its latency.
-func (m *Jobs) Answered(call, outcome string, took time.Duration) {
+func (m *JobMetrics) Answered(call, outcome string, took time.Duration) {
 	m.answers.WithLabelValues(call, outcome).Inc()
 	m.answerDuration.WithLabelValues(call).Observe(took.Seconds())
 }
 
 // StoreCalled records the duration of a call to the store.
-func (m *Jobs) StoreCalled(call, topic, outcome string, took time.Duration) {
+func (m *JobMetrics) StoreCalled(call, topic, outcome string, took time.Duration) {
 	m.storeCallDuration.WithLabelValues(call, topic, outcome).Observe(took.Seconds())
 }
 
 // Ordered records the duration of an order to a worker.
-func (m *Jobs) Ordered(order, outcome string, took time.Duration) {
+func (m *JobMetrics) Ordered(order, outcome string, took time.Duration) {
 	m.orderDuration.WithLabelValues(order, outcome).Observe(took.Seconds())
 }
 
 // PoolEvent counts an event in a pool, as logged by the pool's owner.
-func (m *Jobs) PoolEvent(pool, event string) {
+func (m *JobMetrics) PoolEvent(pool, event string) {
 	m.poolEvents.WithLabelValues(pool, event).Inc()
 }
 
 // TaskStarted records how long a task waited for its start.
-func (m *Jobs) TaskStarted(pool string, waited time.Duration) {
+func (m *JobMetrics) TaskStarted(pool string, waited time.Duration) {
 	m.taskWait.WithLabelValues(pool).Observe(waited.Seconds())
 }
 
 // JobEnded records how long a job took.
-func (m *Jobs) JobEnded(pool string, took time.Duration) {
+func (m *JobMetrics) JobEnded(pool string, took time.Duration) {
 	m.jobDuration.WithLabelValues(pool).Observe(took.Seconds())
 }
 
 // HostCommanded counts a command of the fleet's owner to an instance.
-func (m *Jobs) HostCommanded(command, outcome string) {
+func (m *JobMetrics) HostCommanded(command, outcome string) {
 	m.commands.WithLabelValues(command, outcome).Inc()
 }
 
 // DutyChanged counts a duty that this entry took over or ended.
-func (m *Jobs) DutyChanged(duty, change string) {
+func (m *JobMetrics) DutyChanged(duty, change string) {
 	m.dutyChanges.WithLabelValues(duty, change).Inc()
 }
 
 // Gauge registers a gauge whose value is read at each scrape.
-func (m *Jobs) Gauge(name, help string, read func() float64) {
+func (m *JobMetrics) Gauge(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
 // Counter registers a counter whose value is read at each scrape.
-func (m *Jobs) Counter(name, help string, read func() float64) {
+func (m *JobMetrics) Counter(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
 
@@ -118,7 +118,7 @@
 )
 
 // Handler returns a handler that serves the metrics in the Prometheus text format.
-func (m *Jobs) Handler() http.Handler {
+func (m *JobMetrics) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(Path, promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{}))
 	mux.Handle(RuntimePath, promhttp.HandlerFor(m.Runtime, promhttp.HandlerOpts{}))
--- a/jaymetric/jobs_test.go
+++ b/jaymetric/jobs_test.go
@@ -11,7 +11,7 @@
 )
 
 // getPage returns the status and the body of the response for a path.
-func getPage(t *testing.T, m *Jobs, path string) (status int, text string) {
+func getPage(t *testing.T, m *JobMetrics, path string) (status int, text string) {
 	t.Helper()
 	answer := httptest.NewRecorder()
 	m.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, path, nil))
@@ -19,7 +19,7 @@
 }
 
 func TestJobs(t *testing.T) {
-	m := NewJobs()
+	m := NewJobMetrics()
 	m.PoolEvent("seats", "run lost")
 	m.TaskStarted("seats", time.Second)
 	t.Run("the program's metrics exclude the runtime's", func(t *testing.T) {
--- a/jaynode/meters.go
+++ b/jaynode/meters.go
@@ -12,7 +12,7 @@
 )
 
 // metered wraps the ports so that each call is counted in the metrics.
-func metered(ports Ports, m *jaymetric.Jobs, clock jayclock.Clock) Ports {
+func metered(ports Ports, m *jaymetric.JobMetrics, clock jayclock.Clock) Ports {
 	ports.Store = &meteredStore{Store: ports.Store, metrics: m, clock: clock}
 	ports.Workers = &meteredWorkers{Workers: ports.Workers, metrics: m, clock: clock}
 	ports.Inventory = &meteredInventory{Inventory: ports.Inventory, metrics: m}
@@ -36,7 +36,7 @@
 // meteredStore counts and times the calls to the store.
 type meteredStore struct {
 	jayport.Store
-	metrics *jaymetric.Jobs
+	metrics *jaymetric.JobMetrics
 	clock   jayclock.Clock
 }
 
@@ -67,7 +67,7 @@
 // meteredWorkers counts and times the orders to workers.
 type meteredWorkers struct {
 	jayport.Workers
-	metrics *jaymetric.Jobs
+	metrics *jaymetric.JobMetrics
 	clock   jayclock.Clock
 }
 
@@ -106,7 +106,7 @@
 // meteredInventory counts the commands to hosts.
 type meteredInventory struct {
 	jayport.Inventory
-	metrics *jaymetric.Jobs
+	metrics *jaymetric.JobMetrics
 }
 
 // Move assigns a host to another pool.
--- a/jaynode/node.go
+++ b/jaynode/node.go
@@ -48,7 +48,7 @@
 	relayPeers  *relayPeers
 	clock       jayclock.Clock
 	logger      logr.Logger
-	metrics     *jaymetric.Jobs
+	metrics     *jaymetric.JobMetrics
 	incarnation string
 	started     time.Time
 	// startedAt is the same moment on the node's clock.
@@ -79,7 +79,7 @@
 }
 
 // WithMetrics sets the metrics that the node updates.
-func WithMetrics(m *jaymetric.Jobs) Option {
+func WithMetrics(m *jaymetric.JobMetrics) Option {
 	return func(n *Node) { n.metrics = m }
 }
 
@@ -102,7 +102,7 @@
 		ports:       ports,
 		clock:       jayclock.Boot,
 		logger:      logger,
-		metrics:     jaymetric.NewJobs(),
+		metrics:     jaymetric.NewJobMetrics(),
 		incarnation: jaymember.NewIncarnation(settings.Entry),
 		started:     time.Now(),
 		pools:       map[string]*poolDuty{},
