--- a/jayentry/entry.go
+++ b/jayentry/entry.go
@@ -125,7 +125,7 @@
 		Window:      time.Duration(o.ClaimWindow),
 		Copies:      o.ClaimCopies,
 		LogTimeout:  time.Duration(o.ClaimLogTimeout),
-		StoredBytes: o.StoredAnswerSize,
+		StoredBytes: o.StoredAnswerBytes,
 		LogAge:      func() time.Duration { return e.claimFollower.Age() },
 	}, e.claimLog, e.members, e.base.WithName("claims"))
 	e.claimLog.claimer = e.claimer
--- a/jayoptions/options.go
+++ b/jayoptions/options.go
@@ -62,20 +62,20 @@
 	// the caller.
 	CallerHeader string `json:"callerHeader"`
 
-	EventLoops       int      `json:"eventLoops"`
-	MaxRequestBytes  int      `json:"maxRequestBytes"`
-	BufferBytes      int      `json:"bufferBytes"`
-	MaxCallerConns   int      `json:"maxCallerConns"`
-	QueuePerPool     int      `json:"queuePerPool"`
-	QueueTime        Duration `json:"queueTime"`
-	RequestTimeout   Duration `json:"requestTimeout"`
-	CallerIdle       Duration `json:"callerIdle"`
-	UpstreamIdle     Duration `json:"upstreamIdle"`
-	DialTimeout      Duration `json:"dialTimeout"`
-	RetryShare       float64  `json:"retryShare"`
-	ClaimWindow      Duration `json:"claimWindow"`
-	ClaimCopies      int      `json:"claimCopies"`
-	StoredAnswerSize int      `json:"storedAnswerBytes"`
+	EventLoops        int      `json:"eventLoops"`
+	MaxRequestBytes   int      `json:"maxRequestBytes"`
+	BufferBytes       int      `json:"bufferBytes"`
+	MaxCallerConns    int      `json:"maxCallerConns"`
+	QueuePerPool      int      `json:"queuePerPool"`
+	QueueTime         Duration `json:"queueTime"`
+	RequestTimeout    Duration `json:"requestTimeout"`
+	CallerIdle        Duration `json:"callerIdle"`
+	UpstreamIdle      Duration `json:"upstreamIdle"`
+	DialTimeout       Duration `json:"dialTimeout"`
+	RetryShare        float64  `json:"retryShare"`
+	ClaimWindow       Duration `json:"claimWindow"`
+	ClaimCopies       int      `json:"claimCopies"`
+	StoredAnswerBytes int      `json:"storedAnswerBytes"`
 
 	HeartbeatEvery  Duration `json:"heartbeatEvery"`
 	PeerTimeout     Duration `json:"peerTimeout"`
@@ -109,20 +109,20 @@
 
 		CallerHeader: "Jaythread-Caller",
 
-		EventLoops:       1,
-		MaxRequestBytes:  4 << 20,
-		BufferBytes:      1 << 20,
-		MaxCallerConns:   20_000,
-		QueuePerPool:     256,
-		QueueTime:        Duration(500 * time.Millisecond),
-		RequestTimeout:   Duration(5 * time.Second),
-		CallerIdle:       Duration(time.Minute),
-		UpstreamIdle:     Duration(5 * time.Second),
-		DialTimeout:      Duration(500 * time.Millisecond),
-		RetryShare:       0.1,
-		ClaimWindow:      Duration(10 * time.Minute),
-		ClaimCopies:      3,
-		StoredAnswerSize: 64 << 10,
+		EventLoops:        1,
+		MaxRequestBytes:   4 << 20,
+		BufferBytes:       1 << 20,
+		MaxCallerConns:    20_000,
+		QueuePerPool:      256,
+		QueueTime:         Duration(500 * time.Millisecond),
+		RequestTimeout:    Duration(5 * time.Second),
+		CallerIdle:        Duration(time.Minute),
+		UpstreamIdle:      Duration(5 * time.Second),
+		DialTimeout:       Duration(500 * time.Millisecond),
+		RetryShare:        0.1,
+		ClaimWindow:       Duration(10 * time.Minute),
+		ClaimCopies:       3,
+		StoredAnswerBytes: 64 << 10,
 
 		HeartbeatEvery:  Duration(500 * time.Millisecond),
 		PeerTimeout:     Duration(time.Second),
--- a/jayoptions/parser.go
+++ b/jayoptions/parser.go
@@ -99,7 +99,7 @@
 	checkCount(d, "/maxCallerConns", o.MaxCallerConns, 1, 1_000_000)
 	checkCount(d, "/queuePerPool", o.QueuePerPool, 1, 100_000)
 	checkCount(d, "/claimCopies", o.ClaimCopies, 1, 7)
-	checkCount(d, "/storedAnswerBytes", o.StoredAnswerSize, 0, 1<<20)
+	checkCount(d, "/storedAnswerBytes", o.StoredAnswerBytes, 0, 1<<20)
 	checkCount(d, "/snapshotEvery", o.SnapshotEvery, 10, 1_000_000)
 	if o.RetryShare < 0 || o.RetryShare > 1 {
 		d.Add("/retryShare", "%v is outside 0 to 1", o.RetryShare)
