--- a/jayjob/placement_test.go
+++ b/jayjob/placement_test.go
@@ -178,7 +178,7 @@
 	})
 }
 
-func TestLearn(t *testing.T) {
+func TestEstimateNeed(t *testing.T) {
 	is := is.New(t)
 	declared := jaypool.Resources{ProcessorsMilli: 8000, MemoryMegabytes: 64000, Accelerators: 1}
 	is.Equal(EstimateNeed(declared, []Usage{{ProcessorsMilli: 1000, MemoryMegabytes: 1000}}), declared)
