--- a/jaymember/owners.go
+++ b/jaymember/owners.go
@@ -100,8 +100,8 @@
 	return o.table.Load() != nil
 }
 
-// OwnerOf returns the newest claim of a duty, if there is one. The owner still serves a duty
-// that it has released until the next claim.
+// OwnerOf returns the newest claim of a duty, if there is one. The owner still serves a
+// duty that it has released until the next claim.
 func (o *Owners) OwnerOf(d jayowner.Duty) (jayowner.Claim, bool) {
 	view := o.table.Load()
 	if view == nil {
--- a/jaymember/peerclock.go
+++ b/jaymember/peerclock.go
@@ -21,8 +21,9 @@
 	return c.Clock + at - c.HeardAt
 }
 
-// ToLocal converts a time on the other clock to this clock; the result is never too early.
-// Times of day would be accurate only to the seconds by which the clocks may differ.
+// ToLocal converts a time on the other clock to this clock; the result is never too
+// early. Times of day would be accurate only to the seconds by which the clocks may
+// differ.
 func (c PeerClock) ToLocal(at time.Duration) time.Duration {
 	return c.HeardAt + at - c.Clock
 }
--- a/jaynode/takeover.go
+++ b/jaynode/takeover.go
@@ -68,12 +68,12 @@
 	}
 }
 
-// inventoryPollInterval is the time between two reads of the inventory while workers do not
-// answer. Each read has a cost.
+// inventoryPollInterval is the time between two reads of the inventory while workers do
+// not answer. Each read has a cost.
 const inventoryPollInterval = 500 * time.Millisecond
 
-// pollInventory tells the pool which workers exist according to the inventory, while the pool
-// waits for answers from some of them.
+// pollInventory tells the pool which workers exist according to the inventory, while the
+// pool waits for answers from some of them.
 func (d *poolDuty) pollInventory() {
 	for d.ctx.Err() == nil {
 		needed := false
--- a/jayplan/plan.go
+++ b/jayplan/plan.go
@@ -34,8 +34,8 @@
 	// Workers is the instance list by instance ID.
 	Workers map[string]jayplatform.Instance
 	Now     time.Time
-	// MinAppliedOffset is the lowest offset that all entries that may still route have applied. An
-	// instance whose drain has a lower offset gets no new work.
+	// MinAppliedOffset is the lowest offset that all entries that may still route have
+	// applied. An instance whose drain has a lower offset gets no new work.
 	MinAppliedOffset uint64
 }
 
--- a/jaysched/advice.go
+++ b/jaysched/advice.go
@@ -85,8 +85,8 @@
 	p.actions = append(p.actions, ask)
 }
 
-// AdviceAnswered handles the answer to a request that was sent at the time asked. A failed request is
-// repeated.
+// AdviceAnswered handles the answer to a request that was sent at the time asked. A failed
+// request is repeated.
 func (p *Pool) AdviceAnswered(a AskAdvice, got jayport.Advice, err error, asked, now time.Duration) {
 	s := p.stepOf(a.Step)
 	if s == nil {
--- a/jaysched/observations.go
+++ b/jaysched/observations.go
@@ -88,9 +88,9 @@
 	w.Addr = listed.Addr
 }
 
-// InventoryRead handles the list of workers that the inventory had in the pool at the time asked. A
-// worker that is not on the list of workers may have runs that a former owner started; a
-// worker that the inventory no longer has, and that has not answered since, has ended.
+// InventoryRead handles the list of workers that the inventory had in the pool at the time
+// asked. A worker that is not on the list of workers may have runs that a former owner started;
+// a worker that the inventory no longer has, and that has not answered since, has ended.
 func (p *Pool) InventoryRead(ids []string, asked, now time.Duration) {
 	p.inventoryRead = true
 	exists := make(map[string]bool, len(ids))
--- a/jaysched/ownership.go
+++ b/jaysched/ownership.go
@@ -45,9 +45,9 @@
 	p.ownership.at = max(p.ownership.at, at)
 }
 
-// OwnerPaused records that the owner was paused until now: until it is confirmed that it has not been
-// replaced in the meantime, no run is started, and requests about jobs are not answered from
-// its state. Otherwise a job that the next owner had ended would be shown as running again.
+// OwnerPaused records that the owner was paused until now: until it is confirmed that it has not
+// been replaced in the meantime, no run is started, and requests about jobs are not answered
+// from its state. Otherwise a job that the next owner had ended would be shown as running again.
 func (p *Pool) OwnerPaused(now time.Duration) {
 	p.ownership.pausedAt = now
 }
--- a/jaysched/place.go
+++ b/jaysched/place.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// smallerNeedUnmet reports whether a step with no smaller need has just found no worker: while jobs
-// are placed, room only decreases. In a load spike with hundreds of waiting jobs this avoids
-// checking every worker for each of them.
+// smallerNeedUnmet reports whether a step with no smaller need has just found no worker: while
+// jobs are placed, room only decreases. In a load spike with hundreds of waiting jobs this
+// avoids checking every worker for each of them.
 func (p *Pool) smallerNeedUnmet(s *step) bool {
 	need := needOf(s)
 	for _, missing := range p.noRoom {
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -117,8 +117,8 @@
 	startedAt   time.Duration
 	ownership   ownership
 	unknownJobs unknownJobs
-	// inventoryRead says that every existing worker is known, also those that the list of workers
-	// does not contain.
+	// inventoryRead says that every existing worker is known, also those that the list of
+	// workers does not contain.
 	inventoryRead bool
 	// unlisted are the workers that exist but are not on the list.
 	unlisted map[string]bool
