--- a/jayaccount/account_test.go
+++ b/jayaccount/account_test.go
@@ -109,7 +109,7 @@
 	is.Equal(a.Seconds[1], SecondRow{Second: 1, Jobs: 1, Late: 1})
 }
 
-func TestBestBound(t *testing.T) {
+func TestInTimeBound(t *testing.T) {
 	// Two instances of one core each are on and two are off: four cores in all.
 	room := stateLine(0, 2, 2, 0, 0, 0, 2, 0, 2000)
 	cases := []struct {
--- a/jaymember/entries_test.go
+++ b/jaymember/entries_test.go
@@ -12,7 +12,7 @@
 	"jaythread/jaywire"
 )
 
-func TestRestartedActorHasEnded(t *testing.T) {
+func TestRestartedActorHasCertainlyEnded(t *testing.T) {
 	// Guards against a pool under peak load that gets no host for three seconds after all
 	// entries lost power. An entry moved hosts, released its duties and was restarted
 	// shortly before the power loss. The fleet's new owner left these hosts alone, since
--- a/jaysched/forecast_test.go
+++ b/jaysched/forecast_test.go
@@ -48,7 +48,7 @@
 	is.True(need < 320_000)
 }
 
-func TestPoolIsCrowdedWhileTasksWaitForRoom(t *testing.T) {
+func TestPoolLacksRoomWhileTasksWait(t *testing.T) {
 	is := is.New(t)
 	w := newHarness(t, 1)
 	w.reports()
--- a/jayupstream/client_test.go
+++ b/jayupstream/client_test.go
@@ -258,7 +258,7 @@
 	})
 }
 
-func TestFreshOpensNewConnection(t *testing.T) {
+func TestNewConnectionIsOpened(t *testing.T) {
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
 	var first, second string
