--- a/jaysched/bounds_test.go
+++ b/jaysched/bounds_test.go
@@ -217,7 +217,7 @@
 		w := newHarness(t, 1, WithFence(9, 2))
 		declare(w, newSpec("j", 1, longRunning))
 		worker := w.pool.workers["w0"]
-		return w.pool.stopsSettled(worker.inOrder[0].task.step, worker.answeredAt+after)
+		return w.pool.formerStopsEnded(worker.inOrder[0].task.step, worker.firstReportAt+after)
 	})
 }
 
@@ -284,9 +284,9 @@
 		declare(w, newSpec("j", 1))
 		s := w.pool.jobs["j"].occurrences[0].steps[0]
 		for range 5 {
-			w.pool.times.observe(s, 2*time.Second)
+			w.pool.durations.observe(s, 2*time.Second)
 		}
-		learned := w.pool.times.predict("q", time.Second)
+		learned := w.pool.durations.predict("q", time.Second)
 		is.True(learned > 1380*time.Millisecond && learned < 1450*time.Millisecond)
 	})
 	t.Run("durations below 10 ms count as 10 ms", func(t *testing.T) {
@@ -429,10 +429,10 @@
 		declare(w, long)
 		for range 10 {
 			for _, id := range []string{"short", "long"} {
-				w.pool.times.observe(w.pool.jobs[id].occurrences[0].steps[0], 2*time.Second)
+				w.pool.durations.observe(w.pool.jobs[id].occurrences[0].steps[0], 2*time.Second)
 			}
 		}
-		ratio := w.pool.times.predict("q", 4*time.Second).Seconds() / w.pool.times.predict("q", time.Second).Seconds()
+		ratio := w.pool.durations.predict("q", 4*time.Second).Seconds() / w.pool.durations.predict("q", time.Second).Seconds()
 		is.True(ratio > 1.15 && ratio < 1.22)
 	})
 }
--- a/jaysched/cancel_test.go
+++ b/jaysched/cancel_test.go
@@ -96,8 +96,8 @@
 
 func TestNextOwnerStopsRunsOfACancelledJob(t *testing.T) {
 	// Guards against tasks of a cancelled job that continue without limit: a job is cancelled,
-	// its owner is lost before the stop, and the next owner knows only that the job has ended,
-	// or does not know the job. Runs without an open job were not stopped.
+	// its owner is lost before the stop, and the next owner has read only that the job has
+	// ended, or has not read the job at all. Runs without an open job were not stopped.
 	for name, restore := range map[string]func(*Pool, time.Duration){
 		"its end is recorded":      func(p *Pool, now time.Duration) { p.RestoreEnded("j", Canceled, now) },
 		"its records were removed": func(*Pool, time.Duration) {},
--- a/jaysched/capacity.go
+++ b/jaysched/capacity.go
@@ -8,8 +8,8 @@
 	"jaythread/jayport"
 )
 
-// maxFullTime limits for how long no run is started on a worker that had less room than it had
-// reported: it reports its new capacity within about that time.
+// maxFullTime limits for how long no run is started on a worker that had less room than its
+// heartbeat shows: the heartbeat with its new capacity is read within about that time.
 const maxFullTime = 1500 * time.Millisecond
 
 // resize sets a new capacity of a worker. Runs beyond the new capacity continue, and no run is
@@ -39,7 +39,7 @@
 
 // recordRefusal records why the worker refused a start. A worker that unexpectedly lacks room
 // gets no start for a delay that doubles each time: its actual capacity becomes known only with
-// its next listed entry.
+// its next heartbeat.
 func (w *worker) recordRefusal(reason jayport.Reason, now time.Duration) {
 	w.health.recordRefusal(reason, now)
 	if reason == jayport.RefusedNoRoom && now >= w.fullUntil {
--- a/jaysched/capacity_test.go
+++ b/jaysched/capacity_test.go
@@ -12,7 +12,7 @@
 	"jaythread/jayspec"
 )
 
-// resizeWorker makes a worker report another capacity.
+// resizeWorker changes the capacity in a worker's heartbeat.
 func (w *harness) resizeWorker(id string, milli, megabytes int64) {
 	w.workers[id].info.Capacity = jaypool.Resources{ProcessorsMilli: milli, MemoryMegabytes: megabytes}
 	w.list()
@@ -137,7 +137,7 @@
 	})
 }
 
-// Guards against repeated starts on a worker that has less room than it has reported.
+// Guards against repeated starts on a worker that has less room than its heartbeat shows.
 func TestStartsAreDelayedAfterRefusalsForLackOfRoom(t *testing.T) {
 	is := is.New(t)
 	w := newHarness(t, 1)
--- a/jaysched/crash.go
+++ b/jaysched/crash.go
@@ -9,18 +9,18 @@
 	"jaythread/jaywire"
 )
 
-// A task may crash each worker that starts it. The worker takes the runs of other tasks down
-// with it and reports no end, so the task would be restarted without limit and empty its whole
-// pool. The loss of a worker is therefore attributed to the runs that may have caused it. The
-// cause is found by isolating the suspects from each other: each further loss leaves fewer of
-// them.
+// A task may crash each worker that starts it. The runs of other tasks are lost with the
+// worker, and no end of the task is reported, so the task would be restarted without limit and
+// crash all workers of its pool. The loss of a worker is therefore attributed to the runs that
+// may have caused it. The cause is found by isolating the suspects from each other: each
+// further loss leaves fewer of them.
 
 const (
 	// provenProbability is the probability of losing its workers by chance at or below which a
 	// task is proven to crash them: a day has far fewer tasks than the inverse of it.
 	provenProbability = 1e-6
 	// minProvenRacks is the number of racks in which the task must have lost workers: a single
-	// machine, or a single rack, may fail repeatedly by itself.
+	// host, or a single rack, may fail repeatedly by itself.
 	minProvenRacks = 2
 	// maxCrashes is the number of losses after which a task is given up in any case; one fewer
 	// if a former owner may have been lost together with the first of them.
@@ -37,8 +37,8 @@
 	// probability is the probability that the worker failed by itself in that time. It is
 	// certainProbability if a run of another job may have caused the loss.
 	probability float64
-	// rackLost says that the whole rack seemed to be lost. Such a loss is attributed to no
-	// task, except that it counts towards the number of its losses.
+	// rackLost says that the whole rack seemed to be lost. Such a loss counts towards the
+	// number of the task's losses, but its probability is no evidence against the task.
 	rackLost bool
 	// unconfirmed says that a former owner was about to start the run and that no worker has
 	// reported it since.
@@ -107,8 +107,8 @@
 // crashesWorkers reports whether a task is proven to crash its workers. A service task starts
 // so often in its lifetime that only the number of losses is a proof.
 //
-// In a pool of one rack, workers are counted in place of racks: their IDs may be those of one
-// machine.
+// In a pool of one rack, workers are counted in place of racks: several IDs may belong to one
+// host.
 func (t *task) crashesWorkers(oneRack bool) bool {
 	most := maxCrashes
 	if t.step.job.inherited {
--- a/jaysched/crash_test.go
+++ b/jaysched/crash_test.go
@@ -15,7 +15,8 @@
 // maxStartsOfCrasher is the maximum number of starts of a task that crashes its workers.
 const maxStartsOfCrasher = 5
 
-// crashWorker crashes a worker. Its machine immediately has another worker at the same address.
+// crashWorker crashes a worker. Another worker starts on its host immediately, at the same
+// address.
 func (w *harness) crashWorker(id string) {
 	w.t.Helper()
 	f := w.workers[id]
@@ -50,7 +51,7 @@
 	return len(crashed)
 }
 
-// inventoryLoses loses a worker and gives the pool an inventory without it.
+// inventoryLoses ends a worker and passes the pool an inventory without it.
 func (w *harness) inventoryLoses(id string) {
 	delete(w.workers, id)
 	w.now += time.Millisecond
@@ -61,8 +62,8 @@
 
 // reportFor lets time pass while all workers report several times a second.
 func (w *harness) reportFor(d time.Duration) {
-	for passed := time.Duration(0); passed < d; passed += settleTime / 2 {
-		w.now += min(settleTime/2, d-passed)
+	for passed := time.Duration(0); passed < d; passed += startRiskTime / 2 {
+		w.now += min(startRiskTime/2, d-passed)
 		w.reports()
 	}
 }
@@ -72,7 +73,7 @@
 	w.t.Helper()
 	for range 20 * maxStartsOfCrasher {
 		if w.crashWorkersOf(after, crasher...) == 0 {
-			w.reportFor(settleTime)
+			w.reportFor(startRiskTime)
 		}
 	}
 }
@@ -100,7 +101,7 @@
 	}
 	givenUp("at its start", newSpec("j", 1, single), 0, "j.0.0.0")
 	givenUp("beside others of its job", newSpec("j", 1), 0, "j.0.0.0")
-	givenUp("in the middle of its work", newSpec("j", 1, single), 2*settleTime, "j.0.0.0")
+	givenUp("in the middle of its work", newSpec("j", 1, single), 2*startRiskTime, "j.0.0.0")
 	givenUp("as the only task of a service", newSpec("j", 1, single, longRunning), 0, "j.0.0.0")
 	givenUp("as a member of a gang", newSpec("j", 1, func(s *jayspec.Step) { s.Gang = true }), 0, "j.0.0.1")
 	givenUp("as a best-effort task", newSpec("j", 1, single, func(s *jayspec.Step) { s.Fills = true }), 0, "j.0.0.0")
@@ -197,7 +198,7 @@
 					w.crashWorker(id)
 				}
 			}
-			w.reportFor(settleTime)
+			w.reportFor(startRiskTime)
 		}
 		w.record()
 		wantState(t, w, "j", StateFailed)
--- a/jaysched/deadline.go
+++ b/jaysched/deadline.go
@@ -89,7 +89,7 @@
 func (p *Pool) waitingWork(j *job) float64 {
 	work := 0.0
 	for _, s := range j.occurrences[0].steps {
-		takes := p.times.predict(j.spec.Queue, s.decl.Estimate)
+		takes := p.durations.predict(j.spec.Queue, s.decl.Estimate)
 		work += float64(s.waiting) * float64(needOf(s).ProcessorsMilli) * takes.Seconds()
 	}
 	return work
@@ -135,7 +135,7 @@
 // now.
 func (p *Pool) remainingStepTime(s *step, now time.Duration) time.Duration {
 	if s.waiting > 0 {
-		return p.times.predict(s.job.spec.Queue, s.decl.Estimate)
+		return p.durations.predict(s.job.spec.Queue, s.decl.Estimate)
 	}
 	left := time.Duration(0)
 	for _, t := range s.tasks {
--- a/jaysched/deadline_test.go
+++ b/jaysched/deadline_test.go
@@ -59,7 +59,7 @@
 }
 
 func TestOverloadedPoolServesOnTimeJobsFirst(t *testing.T) {
-	// Guards against a load spike in which every job is late, even those that arrive when it is
+	// Guards against a burst in which every job is late, even those that arrive when it is
 	// over: jobs wait for longer than the time they have, and each time a worker is free, the
 	// oldest of them starts, which is already late. Jobs were served by target, whatever their
 	// result was still worth.
--- a/jaysched/decide.go
+++ b/jaysched/decide.go
@@ -11,8 +11,8 @@
 	// resendDelay is the delay before an order without an answer is sent again. The answer to
 	// an order takes some milliseconds.
 	resendDelay = 100 * time.Millisecond
-	// unreportedTimeout is the time after which an order whose outcome the owner was not told
-	// counts as unanswered.
+	// unreportedTimeout is the time after which an order whose outcome was not passed to the
+	// pool counts as unanswered.
 	unreportedTimeout = 5 * time.Second
 	// runNumbersPerTerm is the number of run numbers reserved for one owner: each owner's
 	// numbers are above those of all former owners, whether it knows their runs or not.
@@ -23,7 +23,7 @@
 func (p *Pool) Decide(now time.Duration) []Action {
 	p.confirmOwner(now)
 	if p.ownership.lapsed(now) {
-		// Another owner may have waited for this one's leases to end.
+		// Another owner may have waited until this owner's leases ended, and may act now.
 		return p.takeActions()
 	}
 	p.expireLeases(now)
@@ -50,13 +50,13 @@
 		if w.contact == silent && now >= w.leaseBound && p.ownership.confirmedSince(w.leaseBound) {
 			w.contact = lapsed
 			w.lapsedSuspects, w.lapsedSuspectsAtStart = w.suspects()
-			p.note(Note{Kind: WorkerLapsed, Worker: w.ID, Since: w.heardAt}, now)
+			p.note(Note{Kind: WorkerLapsed, Worker: w.ID, Since: w.lastAnswerAt}, now)
 			p.loseRuns(w, "its lease has ended", now)
 		}
-		// A worker that is no longer listed and does not answer is not asked forever: each
-		// attempt is a new connection to an address that may belong to another worker by now.
-		// While tasks are held for runs of a former owner, however, a worker that never
-		// reported may have such a run.
+		// Requests to a worker that is no longer listed and does not answer are not repeated
+		// forever: each attempt is a new connection to an address that may belong to another
+		// worker by now. While tasks are held for runs of a former owner, however, a worker
+		// that never reported may have such a run.
 		mayRun := w.contact == unconfirmed && now < p.heldUntil
 		if !w.listed && w.contact != connected && len(w.runs) == 0 && !mayRun {
 			left = append(left, w)
@@ -135,7 +135,7 @@
 	t.lastRun = number
 	t.addRun(r)
 	w.add(r)
-	p.note(Note{Kind: RunStarted, Worker: w.ID, Run: r.ref(), Since: now - w.heardAt, Waited: now - t.step.readyAt}, now)
+	p.note(Note{Kind: RunStarted, Worker: w.ID, Run: r.ref(), Since: now - w.lastAnswerAt, Waited: now - t.step.readyAt}, now)
 	p.sendStart(r, now)
 }
 
@@ -172,7 +172,7 @@
 	case w.processed != w.acknowledged || w.missingReports > 0 || len(w.unknownJobs) > 0:
 		return 0
 	case w.suspected > 0:
-		return settleTime
+		return startRiskTime
 	case slices.ContainsFunc(w.inOrder, func(r *run) bool { return !r.task.step.decl.LongRunning }):
 		return busyReportWait
 	default:
--- a/jaysched/demand.go
+++ b/jaysched/demand.go
@@ -58,7 +58,7 @@
 	u := p.usage(now)
 	lead := p.settings.MoveTime + reportDelay
 	spread := int64(math.Sqrt(u.variance))
-	// Within a load spike, usage varies randomly; extrapolating each rise called a third more
+	// Within a burst, usage varies randomly; extrapolating each rise requested a third more
 	// hosts than needed. Only growth beyond the random variation is counted.
 	growth := max(0, p.trend.growth(u.milli, lead, now)-spread)
 	need := max(u.milli+growth, p.offeredWork.forecast(u.milli, lead, now)) + p.blockedByMemory(u.shortTasks)
@@ -152,7 +152,7 @@
 const vacateOrderTTL = 2 * time.Second
 
 // vacate opens workers whose order has expired and stops those runs on closed or draining
-// workers that should move.
+// workers that should continue elsewhere.
 func (p *Pool) vacate(now time.Duration) {
 	if now >= p.vacatingUntil {
 		for _, w := range p.sorted {
@@ -198,7 +198,7 @@
 	// migrationCost is how much a migration delays a run: its stop, and the time to resume
 	// elsewhere.
 	migrationCost = 900 * time.Millisecond
-	// migrationSlack is the slack that its job must have beyond that.
+	// migrationSlack is the slack that the job of the run must have beyond migrationCost.
 	migrationSlack = 600 * time.Millisecond
 	// typicalStopTime is roughly how long a worker takes to stop a run.
 	typicalStopTime = 250 * time.Millisecond
@@ -226,7 +226,7 @@
 // remainingTime returns the expected remaining time of a run. A run that has exceeded its
 // estimate is expected to take as long again as it has exceeded it.
 func (p *Pool) remainingTime(r *run, now time.Duration) time.Duration {
-	takes := p.times.predict(r.task.step.job.spec.Queue, r.task.step.decl.Estimate)
+	takes := p.durations.predict(r.task.step.job.spec.Queue, r.task.step.decl.Estimate)
 	ran := now - r.orderedAt
 	if ran < takes {
 		return takes - ran
@@ -246,7 +246,7 @@
 // its step can miss one more task, and another worker has room for it.
 func (p *Pool) mayEvict(r *run, now time.Duration) bool {
 	s := r.task.step
-	if !s.decl.LongRunning || s.unavailable() >= max(1, s.decl.MayMiss) || !p.stopsSettled(s, now) {
+	if !s.decl.LongRunning || s.unavailable() >= max(1, s.decl.MayMiss) || !p.formerStopsEnded(s, now) {
 		return false
 	}
 	return p.chooseWorker(r.task, now) != nil
@@ -255,13 +255,13 @@
 // stopReportDelay is how long the report of a stopped run's end takes, beyond the stop itself.
 const stopReportDelay = 600 * time.Millisecond
 
-// stopsSettled reports whether no run of a step can still be ending by an order of a former
-// owner. A run that was told to stop is listed as active until it has ended; a new owner that
-// counts it as available would stop more runs than the step can miss.
-func (p *Pool) stopsSettled(s *step, now time.Duration) bool {
+// formerStopsEnded reports whether no run of a step can still be ending because a former owner
+// ordered it to stop. A run that was ordered to stop is listed as active until it has ended; a
+// new owner that counts it as available would stop more runs than the step can miss.
+func (p *Pool) formerStopsEnded(s *step, now time.Duration) bool {
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
-			if p.term > 1 && now < r.worker.answeredAt+p.settings.Stop+stopReportDelay {
+			if p.term > 1 && now < r.worker.firstReportAt+p.settings.Stop+stopReportDelay {
 				return false
 			}
 		}
--- a/jaysched/ends.go
+++ b/jaysched/ends.go
@@ -8,8 +8,8 @@
 	"jaythread/jayport"
 )
 
-// failureRetryDelay is the delay before a failed task starts again. It is short, since the next
-// worker is a different one.
+// failureRetryDelay is the delay before a failed task starts again. It is short, since the task
+// prefers a worker on which it has not failed.
 const failureRetryDelay = 10 * time.Millisecond
 
 // processEnd handles the end of a run from a worker's list.
@@ -54,7 +54,7 @@
 		return
 	}
 	if r != nil {
-		p.times.observe(t.step, now-r.confirmedAt)
+		p.durations.observe(t.step, now-r.confirmedAt)
 	}
 	finished := []*task{t}
 	if t.step.decl.Gang {
--- a/jaysched/events.go
+++ b/jaysched/events.go
@@ -34,11 +34,11 @@
 	p.updateMaxCapacity()
 }
 
-// otherIncarnationListed handles a listed entry of an incarnation other than the known one, and
-// reports whether the known one remains. Entries of one worker are listed in the order of its
-// starts. If the known incarnation was learned only from an answer, it may be older or newer
-// than the listed one; the worker's own answers decide.
-func (p *Pool) otherIncarnationListed(w *worker, listed jayport.Worker, now time.Duration) (goesOn bool) {
+// otherIncarnationListed handles the heartbeat of an incarnation other than the known one, and
+// reports whether the known one remains. Heartbeats of one worker are listed in the order of
+// its starts. If the known incarnation was learned only from an answer, it may be older or
+// newer than the listed one; the worker's own answers decide.
+func (p *Pool) otherIncarnationListed(w *worker, listed jayport.Worker, now time.Duration) (remains bool) {
 	switch {
 	case w.Incarnation == 0:
 		p.identify(w, listed.Incarnation)
@@ -51,7 +51,7 @@
 	}
 }
 
-// identify sets the incarnation of a worker that was used without knowing it.
+// identify sets the incarnation of a worker that was in use before its incarnation was known.
 func (p *Pool) identify(w *worker, incarnation jayport.Incarnation) {
 	p.actions = append(p.actions, ForgetWorker{To: w.workerRef()})
 	w.Incarnation, w.identified = incarnation, true
@@ -73,7 +73,7 @@
 	return w
 }
 
-// update applies a worker's listed attributes.
+// update applies the attributes in a worker's newest heartbeat.
 func (p *Pool) update(w *worker, listed jayport.Worker, now time.Duration) {
 	if listed.Draining && !w.Draining {
 		p.note(Note{Kind: WorkerDrains, Worker: w.ID}, now)
@@ -103,7 +103,7 @@
 	}
 	var ended []*worker
 	for _, w := range p.sorted {
-		if !exists[w.ID] && w.joinedAt < asked && w.heardAt < asked {
+		if !exists[w.ID] && w.joinedAt < asked && w.lastAnswerAt < asked {
 			w.confirmedLost = true
 			ended = append(ended, w)
 		}
@@ -146,7 +146,7 @@
 // loseRuns removes all runs of a worker: their tasks wait again.
 func (p *Pool) loseRuns(w *worker, why string, now time.Duration) {
 	for _, r := range slices.Clone(w.inOrder) {
-		p.note(Note{Kind: RunLost, Worker: w.ID, Run: r.ref(), Detail: why, Since: now - w.heardAt, Waited: now - r.orderedAt}, now)
+		p.note(Note{Kind: RunLost, Worker: w.ID, Run: r.ref(), Detail: why, Since: now - w.lastAnswerAt, Waited: now - r.orderedAt}, now)
 		p.dropRun(r, now)
 	}
 }
@@ -157,7 +157,7 @@
 	r.task.droppedAt = now
 }
 
-// Silent handles a request about its runs that a worker did not answer.
+// Silent handles a request for a report that a worker did not answer.
 func (p *Pool) Silent(ref jayport.WorkerRef, now time.Duration) {
 	w, known := p.workerOf(ref)
 	if !known {
@@ -176,7 +176,7 @@
 	w.askAt = now + silentRetryDelay
 	if w.contact == connected {
 		w.contact = silent
-		p.note(Note{Kind: WorkerSilent, Worker: w.ID, Since: w.heardAt}, now)
+		p.note(Note{Kind: WorkerSilent, Worker: w.ID, Since: w.lastAnswerAt}, now)
 	}
 }
 
@@ -212,10 +212,10 @@
 // answered records that a worker answers.
 func (p *Pool) answered(w *worker, now time.Duration) {
 	if w.contact != connected {
-		p.note(Note{Kind: WorkerAnswers, Worker: w.ID, Since: w.heardAt}, now)
+		p.note(Note{Kind: WorkerAnswers, Worker: w.ID, Since: w.lastAnswerAt}, now)
 	}
 	if w.contact == unconfirmed {
-		w.answeredAt = now
+		w.firstReportAt = now
 	}
 	w.contact = connected
 	w.asking = false
@@ -236,8 +236,8 @@
 	}
 }
 
-// processActiveRuns handles the active runs on a worker and counts those that the pool does not
-// want there. It returns all runs that the worker has listed.
+// processActiveRuns handles the active runs on a worker and counts those that must not continue
+// there. It returns all runs that the worker has listed.
 func (p *Pool) processActiveRuns(w *worker, runs []jayport.ActiveRun, now time.Duration) map[jayport.RunRef]bool {
 	seen := make(map[jayport.RunRef]bool, len(runs))
 	w.unaccountedRuns = 0
@@ -264,7 +264,7 @@
 
 // processActiveRun handles a run that a worker lists as active, and reports whether it may
 // continue there.
-func (p *Pool) processActiveRun(w *worker, active jayport.ActiveRun, now time.Duration) (wanted bool) {
+func (p *Pool) processActiveRun(w *worker, active jayport.ActiveRun, now time.Duration) (mayContinue bool) {
 	if r, known := w.runs[active.Run]; known {
 		p.confirm(r, now)
 		r.speed, r.load = active.Speed, active.Load
--- a/jaysched/forecast.go
+++ b/jaysched/forecast.go
@@ -10,8 +10,7 @@
 )
 
 const (
-	// trendWindow is the time over which growth is measured. A load spike begins within a
-	// second.
+	// trendWindow is the time over which growth is measured. A burst begins within a second.
 	trendWindow = 800 * time.Millisecond
 	// trendSamples is the minimum number of samples for a slope.
 	trendSamples = 3
@@ -59,10 +58,10 @@
 
 const (
 	// rateJobs is the number of jobs from which a rate is computed: with fewer, a single large
-	// job would look like a load spike.
+	// job would count as a burst.
 	rateJobs = 12
 	// minRateWindow and maxRateWindow limit the time over which the rate is computed: a batch
-	// of jobs is not a load spike, and a load spike is over after some seconds.
+	// of jobs is not a burst, and a burst is over after some seconds.
 	minRateWindow = 500 * time.Millisecond
 	maxRateWindow = 2 * time.Second
 )
@@ -88,9 +87,9 @@
 // rate returns how many thousandths of a core the arriving jobs would keep busy if they
 // continued to arrive at the present rate, and how long a job takes on average.
 //
-// It handles this load: a load spike begins, and its jobs find free room at first or are only
-// in their first step. Their usage then says little about the usage at the time when a host
-// that is requested now arrives; the rate of arriving work indicates it within half a second.
+// It handles this load: a burst begins, and its jobs find free room at first or are only in
+// their first step. Their usage then says little about the usage at the time when a host that
+// is requested now arrives; the rate of arriving work indicates it within half a second.
 func (o *offeredWork) rate(now time.Duration) (milli float64, chain time.Duration) {
 	o.arrivals = slices.DeleteFunc(o.arrivals, func(a arrival) bool { return a.at < now-maxRateWindow })
 	if len(o.arrivals) == 0 {
@@ -130,9 +129,9 @@
 
 // Expect handles a job that was submitted and is about to be stored.
 //
-// It handles this load: a load spike during an outage of the store. Its jobs wait to be stored
-// and all become known when the store is available again; hosts that are requested only then
-// arrive later by the time of a host move.
+// It handles this load: a burst during an outage of the store. Its jobs wait to be stored and
+// all become known when the store is available again; hosts that are requested only then arrive
+// later by the time of a host move.
 func (p *Pool) Expect(spec *jayspec.Job, now time.Duration) {
 	maps.DeleteFunc(p.expected, func(_ string, at time.Duration) bool { return at+expectedTTL < now })
 	_, known := p.jobs[spec.ID]
@@ -146,11 +145,11 @@
 
 // longestChain returns the expected duration of a job that runs alone.
 func (p *Pool) longestChain(spec *jayspec.Job) time.Duration {
-	return spec.LongestChain(func(n int) time.Duration { return p.times.predict(spec.Queue, spec.Steps[n].Estimate) })
+	return spec.LongestChain(func(n int) time.Duration { return p.durations.predict(spec.Queue, spec.Steps[n].Estimate) })
 }
 
 // addArrival records the work of an arriving job. Jobs that are long-running or have scheduled
-// times are not part of a load spike.
+// times are not part of a burst.
 func (p *Pool) addArrival(spec *jayspec.Job, chain, now time.Duration) {
 	if spec.LongRunning() || spec.Schedule.Timed() {
 		return
@@ -158,7 +157,7 @@
 	work := 0.0
 	for n := range spec.Steps {
 		s := &spec.Steps[n]
-		takes := p.times.predict(spec.Queue, s.Estimate)
+		takes := p.durations.predict(spec.Queue, s.Estimate)
 		work += float64(s.Tasks) * float64(s.Need.ProcessorsMilli) * takes.Seconds()
 	}
 	p.offeredWork.add(arrival{at: now, work: work, chain: chain})
--- a/jaysched/forecast_test.go
+++ b/jaysched/forecast_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestRandomVariationIsNotGrowth(t *testing.T) {
-	// Guards against a third of the hosts being idle within a load spike: jobs arrive and end
-	// one at a time, so the pool's usage varies, and each rise was extrapolated.
+	// Guards against a third of the hosts being idle within a burst: jobs arrive and end one at
+	// a time, so the pool's usage varies, and each rise was extrapolated.
 	is := is.New(t)
 	w := newHarness(t, 40)
 	declared := 0
@@ -32,9 +32,9 @@
 }
 
 func TestLoadSpikeIsPredictedWhileThereIsRoom(t *testing.T) {
-	// Guards against hosts that arrive a second late in a load spike: the pool has free room
-	// when the spike begins, so its first jobs run immediately, and only waiting tasks were
-	// taken as an indication of a spike.
+	// Guards against hosts that arrive a second late in a burst: the pool has free room when
+	// the burst begins, so its first jobs run immediately, and only waiting tasks were taken as
+	// an indication of a burst.
 	is := is.New(t)
 	w := newHarness(t, 40)
 	for n := range 20 {
@@ -64,8 +64,8 @@
 
 func TestJobsWaitingToBeStoredCountAsDemand(t *testing.T) {
 	// Guards against jobs that wait for an additional host move after an outage of the store in
-	// a load spike: the jobs waiting to be stored did not count as demand, so hosts were
-	// requested only when the store was available again.
+	// a burst: the jobs waiting to be stored did not count as demand, so hosts were requested
+	// only when the store was available again.
 	is := is.New(t)
 	w := newHarness(t, 1)
 	before := w.pool.Demand(w.now).NeedMilli
--- a/jaysched/harness_test.go
+++ b/jaysched/harness_test.go
@@ -24,8 +24,8 @@
 	// lose reports whether the answer to an action is lost; a lost start is not carried out.
 	lose func(Action) bool
 	sent []Action
-	// storeDown says that nothing can be recorded.
-	storeDown bool
+	// storeUnavailable says that nothing can be recorded.
+	storeUnavailable bool
 }
 
 // fakeWorker is the state of a worker.
@@ -61,7 +61,7 @@
 	}
 }
 
-// list gives the list of workers to the pool.
+// list passes the list of workers to the pool.
 func (w *harness) list() {
 	var list []jayport.Worker
 	for _, f := range w.workers {
@@ -81,7 +81,7 @@
 			acted = w.perform(a) || acted
 		}
 		// Information about tasks that may crash workers is recorded without delay.
-		if w.pool.recordNow && !w.storeDown {
+		if w.pool.recordNow && !w.storeUnavailable {
 			w.record()
 			acted = true
 		}
--- a/jaysched/health.go
+++ b/jaysched/health.go
@@ -11,7 +11,7 @@
 	// their worker is avoided: a task that can never succeed fails on any worker.
 	avoidAfter = 2
 	// minAvoidTime and maxAvoidTime limit for how long a worker is avoided. The time doubles
-	// each time its next run fails too.
+	// each time a run of yet another step fails before a run succeeds.
 	minAvoidTime = time.Second
 	maxAvoidTime = 8 * time.Second
 	// unhealthyAvoidTime is how long a worker is avoided after it has refused a start as
--- a/jaysched/incarnation.go
+++ b/jaysched/incarnation.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// endedEntryTTL is how long an ended incarnation is not taken for a new worker: the list of
-	// workers contains its entry until that expires.
-	endedEntryTTL = 6 * time.Second
+	// endedHeartbeatTTL is how long an ended incarnation is not taken for a new worker: the
+	// list of workers contains its last heartbeat until that expires.
+	endedHeartbeatTTL = 6 * time.Second
 	// maxFormerIncarnations limits the number of incarnations remembered for one worker.
 	maxFormerIncarnations = 16
 )
@@ -25,7 +25,7 @@
 
 // with adds an incarnation that has just ended.
 func (g endedIncarnations) with(incarnation jayport.Incarnation, now time.Duration) endedIncarnations {
-	g.listedUntil = now + endedEntryTTL
+	g.listedUntil = now + endedHeartbeatTTL
 	if incarnation != 0 {
 		g.former = append(g.former, incarnation)
 		g.former = g.former[max(0, len(g.former)-maxFormerIncarnations):]
@@ -33,7 +33,7 @@
 	return g
 }
 
-// includes reports whether an entry is that of an ended incarnation. An entry without an
+// includes reports whether a heartbeat is that of an ended incarnation. A heartbeat without an
 // incarnation counts as one for as long as it may take to expire.
 func (g endedIncarnations) includes(incarnation jayport.Incarnation, now time.Duration) bool {
 	if incarnation == 0 {
--- a/jaysched/incarnation_test.go
+++ b/jaysched/incarnation_test.go
@@ -66,7 +66,7 @@
 		w.pass(busyReportWait)
 		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now)
 		w.run()
-		is.New(w.t).Equal(w.pool.workers["a"], nil) // not used before its entry is listed
+		is.New(w.t).Equal(w.pool.workers["a"], nil) // not used before its heartbeat is listed
 	})
 	returns("the inventory shows it first", func(w *harness) {
 		w.now += time.Millisecond
@@ -231,7 +231,7 @@
 		next := newHarness(t, 0, WithFence(9, 2), WithFormerOwner(first.now+15*time.Second))
 		next.now, next.workers = first.now, first.workers
 		next.pool.Restore(spec, nil, next.now)
-		next.list() // the entries of the former incarnations
+		next.list() // the heartbeats of the former incarnations
 		next.restart("a", 2000)
 		next.run()
 		survey(next)
--- a/jaysched/job.go
+++ b/jaysched/job.go
@@ -54,8 +54,8 @@
 	foundInStore bool
 	// inherited says that a former owner may have begun the job.
 	inherited bool
-	// longRunning says that the job runs until it is cancelled, advised that only the advisor
-	// knows where its steps may run.
+	// longRunning says that the job runs until it is cancelled, advised that the advisor
+	// decides on which workers its steps may run.
 	longRunning bool
 	advised     bool
 	// priority is that of the job's queue; zero is served first.
@@ -76,7 +76,7 @@
 	// removing says that the records of the ended job are being removed.
 	removing bool
 	started  bool
-	// dirty says that the progress differs from the one last handed to the store.
+	// dirty says that the progress differs from the one last passed to the store.
 	dirty bool
 }
 
@@ -278,10 +278,10 @@
 
 // shownOutcome returns the outcome that is shown to callers. An outcome that is not recorded
 // could be revoked: after the loss of an owner the next one restarts everything that it does
-// not know to have ended. While the store is unavailable that would delay every answer until it
-// returns, so a job that is done is shown as done after a short time: the workers keep its ends
-// too, the next owner asks them, and a worker with unrecorded ends is not given to another
-// pool.
+// not know to have ended. While the store is unavailable that would delay every answer until
+// the store is available again, so a job that is done is shown as done after a short time: the
+// workers keep its ends too, the next owner asks them, and a worker with unrecorded ends is not
+// moved to another pool.
 func (j *job) shownOutcome(now time.Duration) Outcome {
 	if j.recorded == Open && j.outcome == Done && now-j.endedAt > showUnrecordedAfter {
 		return Done
--- a/jaysched/latency.go
+++ b/jaysched/latency.go
@@ -23,9 +23,9 @@
 	// meanDivisor is the divisor of the difference by which the running mean follows the newest
 	// answer.
 	meanDivisor = 8
-	// slowAnswer is the latency of an order above which the number of starts in flight is
-	// multiplied by startsDecrease, down to minStarts. Each faster answer raises it by one, up
-	// to maxStarts; it begins at initialStarts.
+	// slowAnswer is the latency of an order above which the limit of starts in flight is
+	// multiplied by startsDecrease, down to minStarts. Each faster answer raises the limit by
+	// one, up to maxStarts; it begins at initialStarts.
 	slowAnswer     = 250 * time.Millisecond
 	startsDecrease = 0.95
 	minStarts      = 16
@@ -76,9 +76,9 @@
 
 // Starts returns how many more starts may be sent now.
 //
-// It handles this load: in a load spike hundreds of tasks wait and find room at the same time,
-// over a link that carries a few dozen starts a second. Sent together, they would delay the
-// requests that renew the workers' leases until the leases have ended.
+// It handles this load: in a burst hundreds of tasks wait and find room at the same time, over
+// a link that carries a few dozen starts a second. Sent together, they would delay the requests
+// that renew the workers' leases until the leases have ended.
 func (l *Latency) Starts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/jaysched/model_test.go
+++ b/jaysched/model_test.go
@@ -15,8 +15,8 @@
 )
 
 // model is a small installation with random events: calls and answers arrive in any order or
-// not at all, workers crash and return under their IDs, entries are listed late, and the pool's
-// owner is lost.
+// not at all, workers crash and return under their IDs, heartbeats are listed late, and the
+// pool's owner is lost.
 type model struct {
 	t       *rapid.T
 	now     time.Duration
@@ -24,12 +24,12 @@
 	term    int64
 	specs   []*jayspec.Job
 	workers map[string]*modelWorker
-	// entries are the entries of workers that have not been listed yet, listed is the latest
-	// listed entry of each worker.
-	entries []jayport.Worker
-	listed  map[string]jayport.Worker
-	calls   []modelCall
-	answers []func()
+	// heartbeats are those of workers that have not been listed yet, listed is the latest
+	// listed heartbeat of each worker.
+	heartbeats []jayport.Worker
+	listed     map[string]jayport.Worker
+	calls      []modelCall
+	answers    []func()
 	// stored is the recorded progress, pending the batch that is being recorded.
 	stored           map[string]*jaywire.JobProgress
 	pending          *Batch
@@ -101,7 +101,7 @@
 	m.usedIncarnations[w.info.Incarnation] = true
 	w.up, w.started, w.fence, w.lease, w.next, w.lapsed = true, m.now, 0, 0, 1, 0
 	w.active, w.refuse, w.ended = map[jayport.RunRef]bool{}, map[jayport.TaskID]int64{}, nil
-	m.entries = append(m.entries, w.info)
+	m.heartbeats = append(m.heartbeats, w.info)
 }
 
 func (w *modelWorker) clock(now time.Duration) time.Duration { return now - w.started }
@@ -285,11 +285,11 @@
 	return e
 }
 
-// list gives the next entry to the owner.
+// list passes the next heartbeat to the owner.
 func (m *model) list() {
-	if len(m.entries) > 0 {
-		m.listed[m.entries[0].ID] = m.entries[0]
-		m.entries = m.entries[1:]
+	if len(m.heartbeats) > 0 {
+		m.listed[m.heartbeats[0].ID] = m.heartbeats[0]
+		m.heartbeats = m.heartbeats[1:]
 	}
 	var list []jayport.Worker
 	for _, id := range sortedKeys(m.listed) {
@@ -298,7 +298,7 @@
 	m.pool.Listed(list, m.now)
 }
 
-// survey gives the owner the workers in the inventory.
+// survey passes the workers in the inventory to the owner.
 func (m *model) survey() {
 	var ids []string
 	for _, id := range sortedKeys(m.workers) {
--- a/jaysched/note.go
+++ b/jaysched/note.go
@@ -54,7 +54,8 @@
 	Worker string
 	Run    jayport.RunRef
 	Detail string
-	// Since is the age of the information that the decision was based on.
+	// Since is the age of the information that the decision was based on. For WorkerSilent,
+	// WorkerAnswers and WorkerLapsed it is the time of the worker's last answer.
 	Since time.Duration
 	// Waited is how long the task or job had waited, or how long ago a run that has ended had
 	// begun.
--- a/jaysched/ownership.go
+++ b/jaysched/ownership.go
@@ -24,37 +24,37 @@
 type ownership struct {
 	// replaceable says that the owner may be replaced at all.
 	replaceable bool
-	// at is the latest time at which the owner had not been replaced.
-	at time.Duration
+	// confirmedAt is the latest time at which the owner had not been replaced.
+	confirmedAt time.Duration
 	// validFor is how long after that time the owner may act.
 	validFor time.Duration
-	// pausedAt is when the owner resumed after a pause, in which it may have been replaced.
-	pausedAt time.Duration
-	asking   bool
-	askAt    time.Duration
+	// resumedAt is when the owner resumed after a pause, in which it may have been replaced.
+	resumedAt time.Duration
+	asking    bool
+	askAt     time.Duration
 }
 
 // WithReplaceableOwner makes the pool act only while its owner is known to be the owner: it was
 // so at the given time, and may act for validFor after the latest confirmation.
 func WithReplaceableOwner(at, validFor time.Duration) Option {
-	return func(p *Pool) { p.ownership = ownership{replaceable: true, at: at, validFor: validFor} }
+	return func(p *Pool) { p.ownership = ownership{replaceable: true, confirmedAt: at, validFor: validFor} }
 }
 
 // Owned records that the owner had not been replaced at a time.
 func (p *Pool) Owned(at time.Duration) {
-	p.ownership.at = max(p.ownership.at, at)
+	p.ownership.confirmedAt = max(p.ownership.confirmedAt, at)
 }
 
 // Doubt records that the owner was paused until now: until it is confirmed that it has not been
 // replaced in the meantime, no run is started, and requests about jobs are not answered from
 // its state. Otherwise a job that the next owner had ended would be shown as running again.
 func (p *Pool) Doubt(now time.Duration) {
-	p.ownership.pausedAt = now
+	p.ownership.resumedAt = now
 }
 
 // InDoubt reports whether the owner may have been replaced during a pause.
 func (p *Pool) InDoubt() bool {
-	return !p.ownership.confirmedSince(p.ownership.pausedAt)
+	return !p.ownership.confirmedSince(p.ownership.resumedAt)
 }
 
 // OwnerConfirmed handles the answer to ConfirmOwner, which was requested at the time asked.
@@ -69,12 +69,12 @@
 
 // confirmedSince reports whether the owner is known not to have been replaced up to a time.
 func (o *ownership) confirmedSince(at time.Duration) bool {
-	return !o.replaceable || o.at >= at
+	return !o.replaceable || o.confirmedAt >= at
 }
 
 // lapsed reports whether the owner's last confirmation is too old for it to act.
 func (o *ownership) lapsed(now time.Duration) bool {
-	return o.replaceable && now-o.at > o.validFor
+	return o.replaceable && now-o.confirmedAt > o.validFor
 }
 
 // confirmOwner requests a check if a decision waits for it.
--- a/jaysched/ownership_test.go
+++ b/jaysched/ownership_test.go
@@ -95,9 +95,9 @@
 }
 
 func TestOwnerWaitsForConfirmationAfterAPause(t *testing.T) {
-	// Guards against a job that was shown as done and is shown as running again: the machine of
-	// an owner is paused for three seconds, the next owner ends a job, and the first one
-	// resumes and answers from its outdated state before it learns that it was replaced.
+	// Guards against a job that was shown as done and is shown as running again: the host of an
+	// owner is paused for three seconds, the next owner ends a job, and the first one resumes
+	// and answers from its outdated state before it learns that it was replaced.
 	is := is.New(t)
 	w := newConfirmedHarness(t, 1)
 	declare(w, newSpec("j", 1))
--- a/jaysched/packing.go
+++ b/jaysched/packing.go
@@ -99,7 +99,7 @@
 type bin struct {
 	worker *worker
 	room   jaypool.Resources
-	taken  bool
+	used   bool
 	placed map[*step]int
 }
 
@@ -107,7 +107,7 @@
 	k := &packing{size: p.maxCapacity}
 	for _, w := range p.sorted {
 		if w.usable() {
-			k.bins = append(k.bins, &bin{worker: w, room: w.roomBesideLongRuns(), taken: w.longRuns > 0})
+			k.bins = append(k.bins, &bin{worker: w, room: w.roomBesideLongRuns(), used: w.longRuns > 0})
 		}
 	}
 	return k
@@ -117,7 +117,7 @@
 // additional one.
 func (k *packing) place(t *task) {
 	for _, b := range k.bins {
-		if b.takes(t) {
+		if b.fits(t) {
 			b.add(t)
 			return
 		}
@@ -131,14 +131,14 @@
 func (k *packing) workers() int {
 	count := 0
 	for _, b := range k.bins {
-		if b.taken {
+		if b.used {
 			count++
 		}
 	}
 	return count
 }
 
-func (b *bin) takes(t *task) bool {
+func (b *bin) fits(t *task) bool {
 	most := t.step.decl.MaxPerInstance
 	return b.room.Fits(needOf(t.step)) && (most == 0 || b.count(t.step) < most)
 }
@@ -153,7 +153,7 @@
 }
 
 func (b *bin) add(t *task) {
-	b.taken = true
+	b.used = true
 	b.room = b.room.Sub(needOf(t.step))
 	if b.placed == nil {
 		b.placed = map[*step]int{}
--- a/jaysched/packing_test.go
+++ b/jaysched/packing_test.go
@@ -94,9 +94,9 @@
 }
 
 func TestCoresWithoutFreeMemoryAreBlocked(t *testing.T) {
-	// Guards against jobs that wait for workers in a load spike although the pool has as many
-	// as it demanded: long-running tasks take most of the memory and few of the cores of half
-	// of the workers, short tasks need both, and cores without free memory counted as usable.
+	// Guards against jobs that wait for workers in a burst although the pool has as many as it
+	// demanded: long-running tasks take most of the memory and few of the cores of half of the
+	// workers, short tasks need both, and cores without free memory counted as usable.
 	is := is.New(t)
 	w := newHarness(t, 1)
 	declare(w, newSpec("a", 1, longRunning, tasks(1, 400, 800)))
--- a/jaysched/place.go
+++ b/jaysched/place.go
@@ -8,7 +8,7 @@
 
 // place starts all tasks that can be started now, in the order of the queue.
 func (p *Pool) place(now time.Duration) {
-	held := p.formerRunsPossible(now)
+	formerRuns := p.formerRunsPossible(now)
 	p.noRoom = p.noRoom[:0]
 	p.crowded = false
 	p.clearReservations()
@@ -19,13 +19,13 @@
 		if p.startsLeft <= 0 {
 			return
 		}
-		if j.waiting == 0 || j.foundInStore && p.runsElsewhere(j) {
+		if j.waiting == 0 || j.foundInStore && p.hasUnprocessedRuns(j) {
 			continue
 		}
 		for _, o := range j.occurrences {
 			for _, s := range o.steps {
 				if s.waiting > 0 && s.ready(now) {
-					p.placeStep(s, held, now)
+					p.placeStep(s, formerRuns, now)
 				}
 			}
 		}
@@ -49,7 +49,7 @@
 	return false
 }
 
-func (p *Pool) placeStep(s *step, held bool, now time.Duration) {
+func (p *Pool) placeStep(s *step, formerRuns bool, now time.Duration) {
 	if s.job.advised {
 		p.requestAdvice(s, now)
 	}
@@ -57,7 +57,7 @@
 		s.rack = p.rackFor(s, now)
 	}
 	if s.decl.Gang {
-		p.placeGang(s, held, now)
+		p.placeGang(s, formerRuns, now)
 		return
 	}
 	if p.lacksRoom(s) {
@@ -68,7 +68,7 @@
 		if p.startsLeft <= 0 {
 			return
 		}
-		if !t.waiting() || now < t.notBefore || held && t.mayRunUnreported {
+		if !t.waiting() || now < t.notBefore || formerRuns && t.mayRunUnreported {
 			continue
 		}
 		if !p.placeTask(t, now) {
@@ -79,7 +79,7 @@
 
 // placeTask starts a task, or reserves a worker for it. It returns false if the other tasks of
 // its step find no worker either.
-func (p *Pool) placeTask(t *task, now time.Duration) (goOn bool) {
+func (p *Pool) placeTask(t *task, now time.Duration) (tryNext bool) {
 	w := p.chooseWorker(t, now)
 	if w == nil {
 		return p.noWorkerFound(t, now)
@@ -96,7 +96,7 @@
 
 // noWorkerFound handles a task for which no worker has room, and reserves a worker where that
 // helps. It returns false if the other tasks of its step find no worker either.
-func (p *Pool) noWorkerFound(t *task, now time.Duration) (goOn bool) {
+func (p *Pool) noWorkerFound(t *task, now time.Duration) (tryNext bool) {
 	p.crowded = true
 	if t.isolation() > watched {
 		p.reserveIsolated(t, now)
@@ -107,7 +107,7 @@
 	return p.reserve(t, now)
 }
 
-// noteNoRoom remembers a need that found no worker, if the only reason is a lack of room.
+// noteNoRoom records a need that found no worker, if the only reason is a lack of room.
 func (p *Pool) noteNoRoom(s *step) {
 	if s.decl.RequiredLabel == "" && s.decl.MaxPerInstance == 0 && !s.job.advised {
 		p.noRoom = append(p.noRoom, needOf(s))
@@ -115,7 +115,7 @@
 }
 
 // lacksRoom reports whether a step with no smaller need has just found no worker: while jobs
-// are placed, room only decreases. In a load spike with hundreds of waiting jobs this avoids
+// are placed, room only decreases. In a burst with hundreds of waiting jobs this avoids
 // checking every worker for each of them.
 func (p *Pool) lacksRoom(s *step) bool {
 	need := needOf(s)
@@ -128,10 +128,10 @@
 }
 
 // placeGang starts all members of a gang together, or none.
-func (p *Pool) placeGang(s *step, held bool, now time.Duration) {
+func (p *Pool) placeGang(s *step, formerRuns bool, now time.Duration) {
 	var chosen []*worker
 	for _, t := range s.tasks {
-		if !t.waiting() || now < t.notBefore || held && t.mayRunUnreported {
+		if !t.waiting() || now < t.notBefore || formerRuns && t.mayRunUnreported {
 			return
 		}
 	}
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -20,7 +20,8 @@
 	Stop time.Duration
 	// MoveTime is how long a host takes to move from one pool to another.
 	MoveTime time.Duration
-	// FarFactor is the factor by which a task takes longer away from its data or rack.
+	// FarFactor is the factor by which a task takes longer on a worker outside the rack of its
+	// data or of its step.
 	FarFactor float64
 }
 
@@ -39,7 +40,7 @@
 	Attempt int
 }
 
-// StopRun tells a worker to stop a run, or never to start it.
+// StopRun orders a worker to stop a run, or never to start it.
 type StopRun struct {
 	To  jayport.WorkerRef
 	Run jayport.RunRef
@@ -113,8 +114,8 @@
 	// heldUntil is when the last lease that a former owner granted must have ended; until
 	// then tasks that it may have started wait for the workers that have not reported yet.
 	heldUntil time.Duration
-	// startedAt is when this owner first restored a job.
-	startedAt   time.Duration
+	// restoredAt is when this owner first restored a job.
+	restoredAt  time.Duration
 	ownership   ownership
 	unknownJobs unknownJobs
 	// surveyed says that every existing worker is known, also those that the list of workers
@@ -136,7 +137,7 @@
 	vacatingUntil time.Duration
 	actions       []Action
 	notes         []Note
-	times         *durations
+	durations     *durations
 }
 
 // Option configures a new pool.
@@ -178,7 +179,7 @@
 		endedWorkers: map[string]endedIncarnations{},
 		expected:     map[string]time.Duration{},
 
-		times:      newDurations(),
+		durations:  newDurations(),
 		startsLeft: math.MaxInt,
 	}
 	for _, option := range options {
@@ -305,7 +306,7 @@
 	})
 }
 
-// stop tells a worker to stop a run. Decide repeats the order until the run has ended.
+// stop orders a worker to stop a run. Decide repeats the order until the run has ended.
 func (p *Pool) stop(r *run, why string, now time.Duration) {
 	if r.phase == stopping || r.phase == stopped {
 		return
--- a/jaysched/pool_test.go
+++ b/jaysched/pool_test.go
@@ -85,7 +85,7 @@
 	declare(w, newSpec("j", 1))
 	w.workers["w0"].silent = true
 	w.workers["w1"].silent = true
-	w.pass(2 * time.Second) // the owner notices
+	w.pass(2 * time.Second) // the worker counts as silent
 	w.pool.Silent(refOf("w0"), w.now)
 	w.pool.Silent(refOf("w1"), w.now)
 	w.addWorker("w2")
--- a/jaysched/queue.go
+++ b/jaysched/queue.go
@@ -6,12 +6,14 @@
 )
 
 // enqueue adds a job to the open jobs, which are kept in the order in which they are served:
-// long-running jobs first, since they serve others all the time, then by the priority of their
-// queue, then by their target.
+// long-running jobs first, since they serve others all the time, and expired jobs last,
+// otherwise by the priority of their queue, then by their deadline status, then by their
+// target.
 //
 // It handles this load: for some seconds a queue gets several times the work that its pool can
-// do. Jobs that are already late come first in this order, so that no job is starved while the
-// load spike lasts; docs/notes/scheduling.md compares it with other orders.
+// do. While the pool does not count as overloaded, every job counts as on time, and those with
+// the earliest target come first, so that no job is starved while the burst lasts;
+// docs/notes/scheduling.md compares it with other orders.
 //
 // Because the queue is kept sorted, it need not be sorted for each decision.
 func (p *Pool) enqueue(j *job) {
--- a/jaysched/record_test.go
+++ b/jaysched/record_test.go
@@ -43,8 +43,8 @@
 }
 
 func TestEndsOfTasksAreRecordedTogether(t *testing.T) {
-	// In a load spike a pool's tasks end every few milliseconds. Recorded one at a time, they
-	// take most of the calls that the store allows.
+	// In a burst a pool's tasks end every few milliseconds. Recorded one at a time, they take
+	// most of the calls that the store allows.
 	recordable := func(t *testing.T, w *harness, want bool) {
 		t.Helper()
 		is.New(t).Equal(w.pool.Recordable(w.now), want)
--- a/jaysched/reserve.go
+++ b/jaysched/reserve.go
@@ -11,7 +11,7 @@
 // It handles this load: a pool has more short tasks waiting than its workers can do, and no
 // host will arrive. A long-running task takes most of a worker's memory; that much room is
 // never free at once, since short tasks fill each gap, and the task would wait for as long as
-// the load spike lasts.
+// the burst lasts.
 func (p *Pool) reserve(t *task, now time.Duration) (reserved bool) {
 	if !t.step.decl.LongRunning || now-t.waitingSince() < p.settings.MoveTime+reportDelay {
 		return false
--- a/jaysched/restore.go
+++ b/jaysched/restore.go
@@ -23,29 +23,29 @@
 		}
 	}
 	j.eachTask(func(t *task) { t.mayRunUnreported = !t.done })
-	if p.startedAt == 0 {
-		p.startedAt = now
+	if p.restoredAt == 0 {
+		p.restoredAt = now
 	}
 	p.add(j)
 	p.giveUpCrashing(j, now)
 }
 
-// takeoverTime is how long after a takeover requests for the state of a job remain unanswered
-// because some worker has not reported. A worker reports within some milliseconds; a lost one
-// does not.
-const takeoverTime = 2 * time.Second
+// takeoverReportTimeout is how long after a takeover requests for the state of a job remain
+// unanswered because some worker has not reported. A worker reports within some milliseconds; a
+// lost one does not.
+const takeoverReportTimeout = 2 * time.Second
 
-// Settled reports whether the state of a job can be answered. A former owner may have told
-// its caller that the job is done before that was recorded; only the workers have the ends of
-// its tasks then, and until they have reported, the job seems to be running.
+// Settled reports whether the state of a job can be answered. A former owner may have shown the
+// job as done to its caller before that was recorded; then only the workers have the ends of
+// its tasks, and until they have reported, the job seems to be running.
 func (p *Pool) Settled(id string, now time.Duration) bool {
 	j, known := p.jobs[id]
-	if !known || j.outcome != Open || now >= p.startedAt+takeoverTime || !p.formerRunsPossible(now) {
+	if !known || j.outcome != Open || now >= p.restoredAt+takeoverReportTimeout || !p.formerRunsPossible(now) {
 		return true
 	}
-	unseen := false
-	j.eachTask(func(t *task) { unseen = unseen || t.mayRunUnreported && !t.done })
-	return !unseen
+	unreported := false
+	j.eachTask(func(t *task) { unreported = unreported || t.mayRunUnreported && !t.done })
+	return !unreported
 }
 
 // RestoreUnreadable adds a job whose recorded progress cannot be read. Its runs continue, but
--- a/jaysched/rush_bench_test.go
+++ b/jaysched/rush_bench_test.go
@@ -11,39 +11,39 @@
 	"jaythread/jayspec"
 )
 
-// spikeEnd is the time at which a run ends.
-type spikeEnd struct {
+// burstEnd is the time at which a run ends.
+type burstEnd struct {
 	at     time.Duration
 	worker string
 	run    jayport.RunRef
 }
 
-type spikeEnds []spikeEnd
+type burstEnds []burstEnd
 
-func (e spikeEnds) Len() int           { return len(e) }
-func (e spikeEnds) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e spikeEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *spikeEnds) Push(x any)        { *e = append(*e, x.(spikeEnd)) }
-func (e *spikeEnds) Pop() any {
+func (e burstEnds) Len() int           { return len(e) }
+func (e burstEnds) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e burstEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *burstEnds) Push(x any)        { *e = append(*e, x.(burstEnd)) }
+func (e *burstEnds) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// spike simulates a load spike of a queue on a pool: four seconds with more jobs than the
-// workers can do, each job one step of eight tasks of 0.8 s. The pool decides after each event,
-// as it does for its owner.
-type spike struct {
+// burst simulates a burst of a queue on a pool: four seconds with more jobs than the workers
+// can do, each job one step of eight tasks of 0.8 s. The pool decides after each event, as it
+// does for its owner.
+type burst struct {
 	pool   *Pool
 	now    time.Duration
-	ends   spikeEnds
+	ends   burstEnds
 	active map[string]map[jayport.RunRef]jayport.ActiveRun
 	number map[string]int64
 	done   int
 }
 
-func newSpike(workers int) *spike {
-	r := &spike{
+func newBurst(workers int) *burst {
+	r := &burst{
 		pool:   NewPool("seats", Settings{Lease: 4 * time.Second, Stop: 200 * time.Millisecond, MoveTime: 1500 * time.Millisecond, FarFactor: 1.5}),
 		now:    time.Minute,
 		active: map[string]map[jayport.RunRef]jayport.ActiveRun{},
@@ -63,7 +63,7 @@
 	return r
 }
 
-func (r *spike) decide() {
+func (r *burst) decide() {
 	for _, a := range r.pool.Decide(r.now) {
 		start, ok := a.(StartRun)
 		if !ok {
@@ -71,7 +71,7 @@
 		}
 		run := start.Order.Run
 		r.active[start.To.ID][run] = jayport.ActiveRun{Run: run, Speed: 100}
-		heap.Push(&r.ends, spikeEnd{at: r.now + 800*time.Millisecond + time.Duration(run.Task.Index)*7*time.Millisecond, worker: start.To.ID, run: run})
+		heap.Push(&r.ends, burstEnd{at: r.now + 800*time.Millisecond + time.Duration(run.Task.Index)*7*time.Millisecond, worker: start.To.ID, run: run})
 		r.pool.StartAnswered(start.To, run, r.now, nil, r.now)
 	}
 	if batch := r.pool.Flush(); batch != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-func (r *spike) report(worker string, ended []jayport.EndedRun) {
+func (r *burst) report(worker string, ended []jayport.EndedRun) {
 	report := jayport.Report{Clock: r.now, Ended: ended}
 	for _, a := range r.active[worker] {
 		report.Active = append(report.Active, a)
@@ -88,18 +88,18 @@
 	r.decide()
 }
 
-func (r *spike) end(e spikeEnd) {
+func (r *burst) end(e burstEnd) {
 	delete(r.active[e.worker], e.run)
 	r.number[e.worker]++
 	r.done++
 	r.report(e.worker, []jayport.EndedRun{{Number: r.number[e.worker], Run: e.run, Ending: jayport.EndedDone}})
 }
 
-func (r *spike) play(jobs, aSecond int) {
+func (r *burst) play(jobs, aSecond int) {
 	for n := range jobs {
 		due := time.Minute + time.Duration(n)*time.Second/time.Duration(aSecond)
 		for len(r.ends) > 0 && r.ends[0].at <= due {
-			e := heap.Pop(&r.ends).(spikeEnd)
+			e := heap.Pop(&r.ends).(burstEnd)
 			r.now = e.at
 			r.end(e)
 		}
@@ -115,7 +115,7 @@
 		r.decide()
 	}
 	for len(r.ends) > 0 {
-		e := heap.Pop(&r.ends).(spikeEnd)
+		e := heap.Pop(&r.ends).(burstEnd)
 		r.now = e.at
 		r.end(e)
 	}
@@ -126,7 +126,7 @@
 func BenchmarkRush(b *testing.B) {
 	tasks := 0
 	for b.Loop() {
-		r := newSpike(80)
+		r := newBurst(80)
 		r.play(560, 140)
 		tasks += r.done
 	}
@@ -138,7 +138,7 @@
 func BenchmarkReport(b *testing.B) {
 	for _, workers := range []int{20, 200, 700} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			r := newSpike(workers)
+			r := newBurst(workers)
 			r.fill(workers * 8)
 			for b.Loop() {
 				r.report("w000", nil)
@@ -148,7 +148,7 @@
 }
 
 // fill starts jobs of eight tasks each until the given number of tasks run.
-func (r *spike) fill(tasks int) {
+func (r *burst) fill(tasks int) {
 	for n := range tasks / 8 {
 		r.pool.Declare(&jayspec.Job{
 			ID: fmt.Sprintf("%016x", n), Queue: "q", Pool: "seats",
--- a/jaysched/suspect.go
+++ b/jaysched/suspect.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// settleTime is how long a run must have been on a worker before its start no longer counts
-	// as a possible cause of a crash of the worker.
-	settleTime = 250 * time.Millisecond
-	// trustTime is how long a run must have been on a worker before it is not suspected at all.
-	trustTime = 10 * time.Second
+	// startRiskTime is how long a run must have been on a worker before its start no longer
+	// counts as a possible cause of a crash of the worker.
+	startRiskTime = 250 * time.Millisecond
+	// crashRiskTime is how long a run must have been on a worker before it is not suspected at
+	// all.
+	crashRiskTime = 10 * time.Second
 	// trialRecordTimeout is how long a suspect waits for the record of its next run.
 	trialRecordTimeout = time.Second
 	// isolatedAfter is the number of losses after which a suspect shares no worker with other
@@ -29,10 +30,11 @@
 	unsuspected isolation = iota
 	// watched tasks were on a worker that was lost, long after their start.
 	watched
-	// isolatedStart tasks start only where no other run has just been started, and no other run
-	// starts there until they have settled.
+	// isolatedStart tasks start only on a worker where all runs of other jobs are past their
+	// startRiskTime, and no run of another job starts there until the task is past its own.
 	isolatedStart
-	// isolatedRun tasks share their worker only with trusted runs.
+	// isolatedRun tasks share their worker only with runs of their own job and with runs that
+	// are past their crashRiskTime.
 	isolatedRun
 )
 
@@ -43,50 +45,51 @@
 	if len(t.crashes) == 0 {
 		return unsuspected
 	}
-	held, open := 0, false
+	counted, startSuspected := 0, false
 	for _, c := range t.crashes {
 		if !c.rackLost || len(t.crashes) >= isolatedAfter {
-			held++
-			open = open || c.atStart && !c.disproved
+			counted++
+			startSuspected = startSuspected || c.atStart && !c.disproved
 		}
 	}
 	switch {
-	case held >= isolatedAfter:
+	case counted >= isolatedAfter:
 		return isolatedRun
-	case open:
+	case startSuspected:
 		return isolatedStart
 	default:
 		return watched
 	}
 }
 
-// settled reports whether the worker has survived long enough since a run began.
-func (r *run) settled() bool {
-	return r.livedFor(settleTime)
+// pastStartRisk reports whether the worker has survived a run for startRiskTime.
+func (r *run) pastStartRisk() bool {
+	return r.survivedFor(startRiskTime)
 }
 
-// trusted reports whether a run has lasted so long that it is not expected to crash its worker.
-func (r *run) trusted() bool {
-	return r.livedFor(trustTime)
+// pastCrashRisk reports whether the worker has survived a run for crashRiskTime, so that the
+// run is not expected to crash it.
+func (r *run) pastCrashRisk() bool {
+	return r.survivedFor(crashRiskTime)
 }
 
-// livedFor reports whether the worker has answered at least a given time after it had a run. A
-// start without an answer may be carried out at any time.
-func (r *run) livedFor(d time.Duration) bool {
-	return r.confirmedAt > 0 && r.worker.heardAt >= r.confirmedAt+d
+// survivedFor reports whether the worker has answered at least a given time after it confirmed
+// a run. A start without an answer may be carried out at any time.
+func (r *run) survivedFor(d time.Duration) bool {
+	return r.confirmedAt > 0 && r.worker.lastAnswerAt >= r.confirmedAt+d
 }
 
 // suspects returns the runs that may have caused the loss of a worker, and whether they had
 // just been started: such runs are more likely causes than any that the worker has survived for
-// longer. If the worker was to leave, its loss is attributed only to runs that had just been
-// started.
+// longer. If the worker is draining or closed, its loss is attributed only to runs that had
+// just been started.
 func (w *worker) suspects() (runs []*run, atStart bool) {
 	var untrusted []*run
 	for _, r := range w.inOrder {
-		if !r.settled() {
+		if !r.pastStartRisk() {
 			runs = append(runs, r)
 		}
-		if !r.trusted() {
+		if !r.pastCrashRisk() {
 			untrusted = append(untrusted, r)
 		}
 	}
@@ -111,14 +114,14 @@
 }
 
 // betterForSuspect compares two workers for a suspect. It prefers a rack in which the task lost
-// no worker, a worker that the task did not lose, and one that has been there for some time: a
-// worker that fails repeatedly by itself has not. On a worker with fewer runs, a crash loses
+// no worker, a worker that the task did not lose, and one that joined some time ago: a worker
+// that fails repeatedly by itself joined recently. On a worker with fewer runs, a crash loses
 // less.
 func (t *task) betterForSuspect(a, b *worker, now time.Duration) int {
 	return cmp.Or(
 		compareBool(t.crashedInRack(a.Rack), t.crashedInRack(b.Rack)),
 		compareBool(t.crashedWorker(a.ID), t.crashedWorker(b.ID)),
-		compareBool(now-a.joinedAt < trustTime, now-b.joinedAt < trustTime),
+		compareBool(now-a.joinedAt < crashRiskTime, now-b.joinedAt < crashRiskTime),
 		cmp.Compare(len(a.runs), len(b.runs)),
 	)
 }
@@ -131,11 +134,11 @@
 	for _, r := range w.inOrder {
 		switch {
 		case r.isolation == unsuspected || len(r.task.crashes) == 0:
-		case r.trusted():
+		case r.pastCrashRisk():
 			r.task.crashes = nil
 			p.markChanged(r.task.step.job)
 			p.note(Note{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "trusted", Waited: now - r.orderedAt}, now)
-		case r.settled() && r.task.isolation() == isolatedStart:
+		case r.pastStartRisk() && r.task.isolation() == isolatedStart:
 			for n := range r.task.crashes {
 				r.task.crashes[n].disproved = true
 			}
@@ -157,18 +160,18 @@
 		}
 		switch max(own, r.isolation) {
 		case isolatedRun:
-			return !r.trusted()
+			return !r.pastCrashRisk()
 		case isolatedStart:
-			return !r.settled()
+			return !r.pastStartRisk()
 		default:
 			return false
 		}
 	})
 }
 
-// reserveIsolated reserves a worker for a suspect that no worker can take now: in a load spike
-// each gap is filled immediately, and there would never be a worker without a run that has just
-// been started.
+// reserveIsolated reserves a worker for a suspect that no worker can take now: in a burst each
+// gap is filled immediately, and there would never be a worker without a run that has just been
+// started.
 func (p *Pool) reserveIsolated(t *task, now time.Duration) {
 	usable := 0
 	var best *worker
@@ -202,23 +205,23 @@
 	for _, r := range w.inOrder {
 		switch {
 		case r.task.step.job == t.step.job:
-		case t.isolation() == isolatedRun && !r.trusted():
+		case t.isolation() == isolatedRun && !r.pastCrashRisk():
 			in = max(in, p.remainingTime(r, now))
-		case !r.settled():
-			in = max(in, settleTime)
+		case !r.pastStartRisk():
+			in = max(in, startRiskTime)
 		}
 	}
 	return in
 }
 
-// clearUnconfirmed withdraws the loss of a run that a worker knows: the run was not lost with a
-// worker.
+// clearUnconfirmed removes the assumed loss of a run that a worker has reported.
 func (t *task) clearUnconfirmed(run int64) {
 	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool { return c.unconfirmed && c.run == run })
 }
 
 // admitTrial reports whether the next run of a task may begin. The run of a suspect is recorded
-// first: if the owner is lost together with the worker, no one else knows of the run.
+// first: if the owner is lost together with the worker, the next owner could not learn of the
+// run otherwise.
 func (p *Pool) admitTrial(t *task, number int64, now time.Duration) bool {
 	if t.isolation() <= watched || t.trialStored >= number {
 		return true
--- a/jaysched/suspect_test.go
+++ b/jaysched/suspect_test.go
@@ -109,7 +109,7 @@
 		}
 	})
 	t.Run("when another task crashes the workers of a small rack one after the other", func(t *testing.T) {
-		// Each worker is the only one of its rack while it lives.
+		// Each worker is the only one of its rack while it runs.
 		w := newHarness(t, 0)
 		w.pool.Declare(newSpec("crasher", 1, single), w.now)
 		w.pool.Declare(newSpec("j", 1), w.now)
@@ -119,7 +119,7 @@
 			w.workers[id].info.Rack = "r"
 			w.list()
 			w.run()
-			w.reportFor(2 * settleTime)
+			w.reportFor(2 * startRiskTime)
 			if strings.HasPrefix(w.running()["crasher.0.0.0"], id) {
 				w.inventoryLoses(id)
 			}
@@ -132,7 +132,7 @@
 		is := is.New(t)
 		w := newHarness(t, 1)
 		declare(w, newSpec("j", 1))
-		w.reportFor(2 * settleTime)
+		w.reportFor(2 * startRiskTime)
 		w.workers["w0"].info.Draining = true
 		w.list()
 		w.crashWorker("w0")
@@ -143,7 +143,7 @@
 		w := newHarness(t, 3)
 		declare(w, newSpec("j", 1, longRunning))
 		for range 2 * maxCrashes {
-			w.reportFor(trustTime + time.Second)
+			w.reportFor(crashRiskTime + time.Second)
 			w.crashWorkersOf(0, "j.0.0.0")
 		}
 		wantState(t, w, "j", Running)
@@ -188,20 +188,20 @@
 		w.run()
 		declare(w, newSpec("k", 1))
 		is.Equal(len(w.running()), 2)
-		w.reportFor(2 * settleTime)
+		w.reportFor(2 * startRiskTime)
 		is.Equal(len(w.running()), 4)
 		is.Equal(w.pool.jobs["j"].occurrences[0].steps[0].tasks[0].isolation(), watched)
 	})
 	t.Run("start once their run is recorded, or after a timeout", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
-		w.storeDown = true
+		w.storeUnavailable = true
 		lostAtStart(w)
 		w.run()
 		is.Equal(len(w.running()), 0)
-		w.reportFor(trialRecordTimeout - settleTime)
+		w.reportFor(trialRecordTimeout - startRiskTime)
 		is.Equal(len(w.running()), 0)
-		w.reportFor(2 * settleTime)
+		w.reportFor(2 * startRiskTime)
 		is.Equal(len(w.running()), 2)
 	})
 	t.Run("are recorded without delay", func(t *testing.T) {
@@ -222,7 +222,7 @@
 		w.run()
 		w.reportFor(time.Millisecond)
 		for id := range w.workers {
-			is.New(t).Equal(renewals(w.sent)[id].Order.Wait, settleTime)
+			is.New(t).Equal(renewals(w.sent)[id].Order.Wait, startRiskTime)
 		}
 	})
 	t.Run("find a worker during a load spike", func(t *testing.T) {
@@ -289,7 +289,7 @@
 		for ref := range w.workers["w0"].active {
 			w.workers["w0"].end(ref, jayport.EndedLapsed)
 		}
-		w.reportFor(2 * settleTime)
+		w.reportFor(2 * startRiskTime)
 		w.silenceUntilLeaseEnds("w0")
 		w.crashWorker("w0")
 		crashes := w.pool.jobs["j"].occurrences[0].steps[0].tasks[0].crashes
@@ -307,7 +307,7 @@
 	w.pass(10 * time.Second)
 }
 
-// Guards against suspects that are not isolated because each of their losses looks like the
+// Guards against suspects that are not isolated because each of their losses is taken for the
 // loss of their rack.
 func TestLossesOfWholeRacks(t *testing.T) {
 	t.Run("count from the second on", func(t *testing.T) {
@@ -371,6 +371,6 @@
 		})
 	}
 	prefers("a worker in another rack", at("r1", time.Second, 3), at("lost", time.Minute, 0))
-	prefers("a worker that joined long ago", at("r1", trustTime, 3), at("r2", trustTime-time.Second, 0))
-	prefers("a worker with fewer runs", at("r1", trustTime, 1), at("r2", trustTime, 2))
+	prefers("a worker that joined long ago", at("r1", crashRiskTime, 3), at("r2", crashRiskTime-time.Second, 0))
+	prefers("a worker with fewer runs", at("r1", crashRiskTime, 1), at("r2", crashRiskTime, 2))
 }
--- a/jaysched/takeover_test.go
+++ b/jaysched/takeover_test.go
@@ -74,8 +74,8 @@
 	})
 	t.Run("a worker that only the inventory knows counts too", func(t *testing.T) {
 		// Guards against the same failure on a worker that is partitioned from the store, so
-		// that its entry has expired, while its owner still reaches it and is lost: the next
-		// owner knew only the workers on the list.
+		// that its heartbeat has expired, while its owner still reaches it and is lost: the
+		// next owner knew only the workers on the list.
 		is := is.New(t)
 		first := newHarness(t, 2)
 		spec := newSpec("j", 1)
@@ -89,9 +89,9 @@
 	})
 	t.Run("a worker that leaves the list before it has reported counts too", func(t *testing.T) {
 		// Guards against a task that is started after it had used up its attempts: an owner is
-		// lost while the store is down, the workers' entries expire in the meantime, and the
-		// next owner drops the workers that are no longer listed, with their ends. A worker
-		// that had not reported was taken for one without ends.
+		// lost while the store is unavailable, the workers' heartbeats expire in the meantime,
+		// and the next owner drops the workers that are no longer listed, with their ends. A
+		// worker that had not reported was taken for one without ends.
 		is := is.New(t)
 		first := newHarness(t, 1)
 		spec := newSpec("j", 1)
@@ -248,7 +248,7 @@
 		third.workers["w1"].silent = true
 		third.run()
 		is.True(!third.pool.Settled("j", third.now))
-		is.True(third.pool.Settled("j", third.now+takeoverTime))
+		is.True(third.pool.Settled("j", third.now+takeoverReportTimeout))
 		is.True(third.pool.Settled("unknown", third.now))
 	})
 }
--- a/jaysched/throttle.go
+++ b/jaysched/throttle.go
@@ -36,9 +36,9 @@
 }
 
 // throttleBestEffort slows best-effort runs down where a serving task beside them is over its
-// target, and speeds them up again when it is well below. How much best-effort runs disturb
-// their neighbours is not known beforehand; without throttling, the users of the serving task
-// would be affected for as long as the best-effort run lasts.
+// target, and speeds them up again when the serving task is well below its target. How much
+// best-effort runs disturb their neighbours is not known beforehand; without throttling, the
+// users of the serving task would be affected for as long as the best-effort run lasts.
 func (p *Pool) throttleBestEffort(now time.Duration) {
 	for _, w := range p.sorted {
 		if w.bestEffort > 0 && w.contact == connected && now >= w.throttle.at {
@@ -64,7 +64,7 @@
 			continue
 		}
 		w.throttle.at = max(w.throttle.at, now+throttleInterval)
-		p.note(Note{Kind: RunThrottled, Worker: w.ID, Run: r.ref(), Since: now - w.heardAt}, now)
+		p.note(Note{Kind: RunThrottled, Worker: w.ID, Run: r.ref(), Since: now - w.lastAnswerAt}, now)
 		p.actions = append(p.actions, ThrottleRun{To: w.workerRef(), Run: r.ref(), Percent: percent})
 	}
 }
--- a/jaysched/unknownjobs.go
+++ b/jaysched/unknownjobs.go
@@ -10,11 +10,11 @@
 
 // unknownJobs are jobs of which workers report runs and that the pool does not know.
 //
-// They prevent this failure: a former owner that does not know yet that it was replaced
-// stores one more job and begins it. The next owner, which has already read the jobs, ignores
-// the ends of its runs and lets the workers forget them; then it reads the job, which looks
-// new, and runs it again. The symptom is a task that is started a second or two after a run of
-// it has ended as done.
+// They prevent this failure: a former owner that does not know yet that it was replaced stores
+// one more job and begins it. The next owner, which has already read the jobs, ignores the ends
+// of its runs and acknowledges them, so that the workers forget them; then it reads the job,
+// takes it for a new one and runs it again. The symptom is a task that is started a second or
+// two after a run of it has ended as done.
 //
 // Therefore a worker's report of such a job is kept until all jobs are known that were stored
 // before the report, and the job is not begun before its worker has reported again.
@@ -27,15 +27,15 @@
 	seenAt map[string]time.Duration
 }
 
-// unknownJobMemory is how long an unknown job of which a worker has reported a run is
-// remembered; a run that is told to stop is listed for less than a second.
-const unknownJobMemory = time.Minute
+// unknownJobTTL is how long an unknown job of which a worker has reported a run is
+// remembered; a run that is ordered to stop is listed for less than a second.
+const unknownJobTTL = time.Minute
 
 // JobsKnown sets the time up to which all submitted jobs are known.
 func (p *Pool) JobsKnown(asOf time.Duration) {
 	p.unknownJobs.tracked = true
 	p.unknownJobs.jobsAsOf = max(p.unknownJobs.jobsAsOf, asOf)
-	maps.DeleteFunc(p.unknownJobs.seenAt, func(_ string, at time.Duration) bool { return at+unknownJobMemory < asOf })
+	maps.DeleteFunc(p.unknownJobs.seenAt, func(_ string, at time.Duration) bool { return at+unknownJobTTL < asOf })
 }
 
 // DeclareFound adds a job that another owner has stored.
@@ -75,9 +75,10 @@
 	return true
 }
 
-// runsElsewhere reports whether the latest report of some worker has runs of a job that was not
-// known at that time: the worker's next report shows their outcome.
-func (p *Pool) runsElsewhere(j *job) bool {
+// hasUnprocessedRuns reports whether the latest report of some worker has runs of a job that
+// was not known at that time: the worker's next report shows their outcome. Once there is none,
+// foundInStore is cleared.
+func (p *Pool) hasUnprocessedRuns(j *job) bool {
 	for _, w := range p.sorted {
 		if w.unknownJobs[j.spec.ID] {
 			return true
--- a/jaysched/vacate_test.go
+++ b/jaysched/vacate_test.go
@@ -154,7 +154,7 @@
 	w.addWorker("w9")
 	w.list()
 	w.run()
-	is.True(!w.pool.stopsSettled(w.pool.jobs["j"].occurrences[0].steps[0], w.now))
+	is.True(!w.pool.formerStopsEnded(w.pool.jobs["j"].occurrences[0].steps[0], w.now))
 	busy := w.pool.jobs["j"].occurrences[0].steps[0].tasks[0].runs[0].worker.ID
 	running := len(w.workers[busy].active)
 	w.pool.SetVacating([]Vacate{{Worker: busy}}, w.now)
--- a/jaysched/worker.go
+++ b/jaysched/worker.go
@@ -31,20 +31,23 @@
 // worker is one incarnation of an instance with its runs.
 type worker struct {
 	jayport.Worker
-	// identified says that the worker reported its incarnation only after it was in use.
+	// identified says that the worker's incarnation became known only after it was in use.
 	identified bool
 	contact    contact
-	// clockAt is when the worker's clock showed clock, or later.
+	// clock is the time that the worker's clock showed in the latest answer, clockAt when that
+	// answer arrived: the worker's clock showed at least clock by then.
 	clock   time.Duration
 	clockAt time.Duration
-	// leaseBound is when the longest lease granted has ended in any case.
+	// leaseBound is when the longest lease granted has ended even if the worker's clock is slow
+	// by clockDrift.
 	leaseBound time.Duration
-	// joinedAt is when the pool learned of the worker, heardAt when its last answer arrived.
+	// joinedAt is when the worker was first listed.
 	joinedAt time.Duration
-	// answeredAt is when the worker first reported under this owner's fence.
-	answeredAt time.Duration
-	heardAt    time.Duration
-	runs       map[jayport.RunRef]*run
+	// firstReportAt is when the worker first reported under this owner's fence, lastAnswerAt
+	// when its last answer arrived.
+	firstReportAt time.Duration
+	lastAnswerAt  time.Duration
+	runs          map[jayport.RunRef]*run
 	// inOrder are the same runs in the order of their tasks.
 	inOrder []*run
 	// resendAt is when the first order to the worker may have to be repeated.
@@ -54,18 +57,18 @@
 	longRuns    int
 	longRunNeed jaypool.Resources
 	// processed is the number of the last end that was handled, acknowledged that of the last
-	// one that the worker may forget.
+	// end that is recorded: the worker may forget the ends up to it.
 	processed    int64
 	acknowledged int64
 	// lastDone is the number of the last end of a task that is done.
 	lastDone int64
-	// asking says that a request is in flight; askAt is when the next one is due.
 	// missingReports counts the reports that are missing since the last one, missingSince is
-	// when the first of them was.
+	// when the first of them was missed.
 	missingReports int
 	missingSince   time.Duration
-	asking         bool
-	askAt          time.Duration
+	// asking says that a request is in flight; askAt is when the next one is due.
+	asking bool
+	askAt  time.Duration
 	// listed says that the latest list of workers contains the worker.
 	listed bool
 	// unaccountedRuns counts the runs in the latest report that the pool does not account for:
@@ -73,10 +76,10 @@
 	unaccountedRuns int
 	// unknownJobs are the jobs in the latest report that were not known.
 	unknownJobs map[string]bool
-	// reservedFor is the only task that may start there in the present decision.
+	// reservedFor is the only task that may start on the worker in the present decision.
 	reservedFor *task
 	// closed workers get no new run; the runs of urgent ones are stopped, and those of workers
-	// that migrate are moved where that loses little.
+	// with migrate set are moved to other workers where that costs little.
 	closed  bool
 	urgent  bool
 	migrate bool
@@ -88,16 +91,16 @@
 	throttle   throttle
 	// health is the worker's health as its own runs show it.
 	health health
-	// fullUntil is until when no run is started there, since it had less room than it had
-	// reported; fullFor is the length of the latest such pause.
+	// fullUntil is until when no run is started on the worker, since it had less room than its
+	// heartbeat shows; fullFor is the length of the latest such pause.
 	fullUntil time.Duration
 	fullFor   time.Duration
 	// suspected counts the runs whose tasks may have crashed a worker.
 	suspected int
 	// confirmedLost says that the worker is known to be lost, together with others.
 	confirmedLost bool
-	// lapsedSuspects are the runs that may have caused the loss of the worker if it turns out
-	// to be lost: they were given up when its lease had ended.
+	// lapsedSuspects are the runs that may have caused the loss of the worker if the worker
+	// turns out to be lost. They were given up when its lease had ended.
 	lapsedSuspects        []*run
 	lapsedSuspectsAtStart bool
 }
@@ -118,7 +121,8 @@
 	// checkpoint is the checkpoint that the run was started with: a repeated start must have
 	// the same.
 	checkpoint string
-	// ticket is the advisor's ticket that the run was started with, likewise.
+	// ticket is the advisor's ticket that the run was started with: a repeated start must have
+	// the same.
 	ticket string
 	// attempt counts how often the start was sent; resendAt is when an order without an answer
 	// may be sent again.
@@ -140,7 +144,7 @@
 	unanswered
 	// running runs were reported by the worker.
 	running
-	// stopping runs were told to stop and have no answer yet.
+	// stopping runs were ordered to stop and have no answer yet.
 	stopping
 	// stopped runs will end, as the worker has confirmed.
 	stopped
@@ -180,7 +184,7 @@
 	return jayport.WorkerRef{ID: w.ID, Incarnation: w.Incarnation, Addr: w.Addr}
 }
 
-// usable reports whether new runs may be started there.
+// usable reports whether new runs may be started on the worker.
 func (w *worker) usable() bool {
 	return w.contact == connected && w.listed && !w.Draining && !w.closed
 }
@@ -252,7 +256,7 @@
 	if clock > 0 {
 		w.clock, w.clockAt = clock, now
 	}
-	w.heardAt = now
+	w.lastAnswerAt = now
 }
 
 // need returns the room that a run of the task takes.
