--- a/jaynode/expire.go
+++ b/jaynode/expire.go
@@ -59,7 +59,7 @@
 		return
 	}
 	for _, id := range ids {
-		d.known.Delete(id)
+		d.storedJobs.Delete(id)
 	}
 }
 
--- a/jaynode/fakes_test.go
+++ b/jaynode/fakes_test.go
@@ -318,7 +318,7 @@
 	return jayowner.Claim{Duty: duty, Fence: fence, Term: term, Incarnation: e.node.incarnation, Entry: e.node.settings.Entry}
 }
 
-// setClaims sets the claims that the entry knows, as of now.
+// setClaims sets the claims that the entry has read, as of now.
 func (e *testEntry) setClaims(claims ...jayowner.Claim) {
 	table := jayowner.NewTable()
 	for n, c := range claims {
--- a/jaynode/fleetcommands_test.go
+++ b/jaynode/fleetcommands_test.go
@@ -110,9 +110,9 @@
 }
 
 func TestTakeoverFencesFormerOwner(t *testing.T) {
-	// Guards against a command that the new owner does not know of: the former owner
-	// recorded and sent it after the new owner had read the records. The new owner fences
-	// the former one's producer before it reads.
+	// Guards against a command that the new owner has not read: the former owner recorded
+	// and sent it after the new owner had read the records. The new owner fences the
+	// former one's producer before it reads.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := jayclock.Since(time.Now().Add(-time.Hour))
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -183,8 +183,8 @@
 	}()
 }
 
-// askDemand asks a pool's owner for its demand and tells it which workers to vacate: once
-// per demandInterval, and at once if the workers to vacate have changed.
+// askDemand asks a pool's owner for the pool's demand and sends it the orders to vacate
+// workers: once per demandInterval, and at once if the workers to vacate have changed.
 func (d *fleetDuty) askDemand(pool string, now time.Duration) {
 	vacating := d.fleet.Vacating(pool)
 	orders := make([]*jaywire.VacateOrder, 0, len(vacating))
--- a/jaynode/fleetrecords.go
+++ b/jaynode/fleetrecords.go
@@ -63,7 +63,8 @@
 }
 
 // heldHosts returns the hosts that a new owner must not act on yet, each with the time
-// until then: a former owner sent a command to them recently and may send it again.
+// from which it may: a former owner recently sent a command to the host and may send it
+// again.
 func (c *fleetCollector) heldHosts(guard jayfleet.Guard, actors actors, t jayfleet.Takeover) map[string]time.Duration {
 	held := map[string]time.Duration{}
 	for host, command := range c.commands {
--- a/jaynode/reports.go
+++ b/jaynode/heartbeats.go
@@ -10,9 +10,9 @@
 	"jaythread/jayport"
 )
 
-// reports holds the newest report of each worker. It is the handler of the tail that
-// reads them.
-type reports struct {
+// workerHeartbeats holds the newest heartbeat of each worker. It is the handler of the
+// tail that reads the heartbeats.
+type workerHeartbeats struct {
 	formats jayport.Formats
 	logger  logr.Logger
 
@@ -21,9 +21,10 @@
 	asOf         time.Duration
 	poolChanged  func(pool string)
 	changedPools map[string]bool
-	// offsets holds the offset of the newest report under each key.
+	// offsets holds the offset of the newest heartbeat under each key.
 	offsets map[string]int64
-	// unreadable is the set of keys whose reports cannot be read; each is logged once.
+	// unreadable is the set of keys whose heartbeats cannot be decoded; each is logged
+	// once.
 	unreadable map[string]bool
 }
 
@@ -34,8 +35,8 @@
 	maxOffsets = 1000
 )
 
-func newReports(n *Node) *reports {
-	return &reports{
+func newWorkerHeartbeats(n *Node) *workerHeartbeats {
+	return &workerHeartbeats{
 		formats:      n.ports.Formats,
 		logger:       n.logger.WithName("reports"),
 		workers:      map[string]jayport.Worker{},
@@ -46,8 +47,8 @@
 	}
 }
 
-// Reset begins a reload: workers without a report in it have left.
-func (r *reports) Reset() {
+// Reset begins a reload: workers without a heartbeat in it have left.
+func (r *workerHeartbeats) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range r.workers {
@@ -56,9 +57,9 @@
 	clear(r.workers)
 }
 
-// Apply processes a worker's report. Reports older than the newest one under the same key
-// are ignored, since they may be from a former incarnation of the worker.
-func (r *reports) Apply(record jayport.Record) {
+// Apply processes a worker's heartbeat. Heartbeats older than the newest one under the
+// same key are ignored, since they may be from a former incarnation of the worker.
+func (r *workerHeartbeats) Apply(record jayport.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if record.Offset < r.offsets[record.Key] {
@@ -75,8 +76,8 @@
 	}
 	w, err := r.formats.Reported(record)
 	if err != nil {
-		// The report does not name a worker that can be used. A worker that was in use is
-		// handled as one that has left: its runs are still tracked.
+		// The heartbeat does not name a worker that can be used. A worker that was in use
+		// is handled as one that has left: its runs are still tracked.
 		delete(r.workers, record.Key)
 		r.logUnreadable(record.Key, err)
 		return
@@ -86,18 +87,18 @@
 	r.changedPools[w.Pool] = true
 }
 
-// logUnreadable logs a report that cannot be read, once until it is replaced by a
+// logUnreadable logs a heartbeat that cannot be decoded, once until it is replaced by a
 // readable one or removed: it may be written again every second.
-func (r *reports) logUnreadable(key string, err error) {
+func (r *workerHeartbeats) logUnreadable(key string, err error) {
 	if r.unreadable[key] || len(r.unreadable) >= maxUnreadable {
 		return
 	}
 	r.unreadable[key] = true
-	r.logger.Info("worker report does not name a worker", "entry", key, "error", err.Error())
+	r.logger.Info("worker heartbeat does not name a worker", "entry", key, "error", err.Error())
 }
 
 // CaughtUp notifies the pools whose workers have changed.
-func (r *reports) CaughtUp(asOf time.Duration) {
+func (r *workerHeartbeats) CaughtUp(asOf time.Duration) {
 	r.mu.Lock()
 	r.asOf = asOf
 	if len(r.offsets) > len(r.workers)+maxOffsets {
@@ -111,8 +112,9 @@
 	}
 }
 
-// of returns the workers of a pool and the time up to which the reports have been read.
-func (r *reports) of(pool string) (list []jayport.Worker, asOf time.Duration) {
+// of returns the workers of a pool and the time up to which the heartbeats have been
+// read.
+func (r *workerHeartbeats) of(pool string) (list []jayport.Worker, asOf time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range r.workers {
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -158,13 +158,13 @@
 		i.node.members.Liveness.Pinged(c.Incarnation, err)
 		answered <- outcome{response, err}
 	}()
-	look := time.NewTicker(suspectPollInterval)
-	defer look.Stop()
+	poll := time.NewTicker(suspectPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case o := <-answered:
 			return o.response, o.err
-		case <-look.C:
+		case <-poll.C:
 			if i.node.members.Liveness.Suspects(c.Incarnation) {
 				return nil, errOwnerSuspected
 			}
@@ -179,11 +179,11 @@
 // The owner also reads all jobs from the store, but a read can be blocked while appends
 // go on. Jobs that were accepted would then start only after that read had timed out.
 func (i *intake) store(pool, id string, value []byte, timeout, outageWait time.Duration) error {
-	if i.node.knows(pool, id) {
-		// A job that the owner knows is stored already: the caller repeats a request that
-		// was accepted, or whose answer was lost. Rejecting it while the store accepts no
-		// appends would claim that the job never runs, and another append would make a
-		// slow store slower.
+	if i.node.isStored(pool, id) {
+		// The store already has the job: the caller repeats a request that was accepted,
+		// or whose answer was lost. Rejecting it while the store accepts no appends would
+		// claim that the job never runs, and another append would make a slow store
+		// slower.
 		return nil
 	}
 	began := i.node.clock()
@@ -224,8 +224,8 @@
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
-	look := time.NewTicker(stuckPollInterval)
-	defer look.Stop()
+	poll := time.NewTicker(stuckPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case err := <-answered:
@@ -233,7 +233,7 @@
 				return err
 			}
 			return jayport.ErrNoAnswer
-		case <-look.C:
+		case <-poll.C:
 			// A job behind a stuck append is rejected once it cannot be done in time any
 			// more, instead of keeping its caller waiting.
 			if i.stuck(journal) && i.node.clock() >= waitUntil && entry.Withdraw() {
@@ -258,8 +258,8 @@
 }
 
 // storeSilenceLimit is how long this entry may be without an answer from the store before
-// it stops appending jobs itself. It reads the claims all the time, and such a read waits
-// for at most jaymember.ClaimsWait.
+// it stops appending jobs itself. The entry reads the claims continuously, and such a
+// read waits for at most jaymember.ClaimsWait.
 const storeSilenceLimit = jaymember.ClaimsWait + 800*time.Millisecond
 
 // storeUnreachable reports whether this entry has had no answer from the store for too
@@ -270,8 +270,8 @@
 	if view == nil {
 		return true
 	}
-	lastWord := max(view.AsOf, i.node.store.RegainedAt())
-	return i.node.clock()-lastWord > storeSilenceLimit
+	lastAnswer := max(view.AsOf, i.node.store.RegainedAt())
+	return i.node.clock()-lastAnswer > storeSilenceLimit
 }
 
 // storeFor stores a job on behalf of a peer.
--- a/jaynode/intake_test.go
+++ b/jaynode/intake_test.go
@@ -29,9 +29,9 @@
 }
 
 func TestStoreAtOwnerSkipsSuspectedOwner(t *testing.T) {
-	// Guards against submissions that take a second and a half after the machine of a
-	// pool's owner stops answering: until another entry owned the pool, each job was
-	// still sent to the owner, although it had not answered a ping.
+	// Guards against submissions that take a second and a half after the host of a pool's
+	// owner stops answering: until another entry owned the pool, each job was still sent
+	// to the owner, although it had not answered a ping.
 	is := is.New(t)
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -50,7 +50,7 @@
 }
 
 func TestStoreAtOwnerReturnsWhenOwnerIsSuspected(t *testing.T) {
-	// Guards against callers without an answer when an owner's machine loses power during
+	// Guards against callers without an answer when an owner's host loses power during
 	// their requests. The request was waited for until it timed out, although pings had
 	// failed meanwhile, and no time was left to store the job directly. In one outage 62
 	// callers waited for two seconds each; the next owner was known after 1.5 s.
@@ -109,7 +109,7 @@
 }
 
 func TestSubmitVerdictsAfterLostAnswers(t *testing.T) {
-	// Guards against telling a caller that its job was not accepted although it runs.
+	// Guards against answering that a job was not accepted although it runs.
 	synctest.Test(t, func(t *testing.T) {
 		// The store accepts the job and its answers are lost until the caller's deadline.
 		// An append in flight must not be taken for a withdrawn one.
--- a/jaynode/node.go
+++ b/jaynode/node.go
@@ -55,7 +55,7 @@
 	startedAt time.Duration
 
 	declarations *declarations
-	reports      *reports
+	heartbeats   *workerHeartbeats
 	members      *jaymember.Members
 	intake       *intake
 	peers        *jaypeer.Client
@@ -90,9 +90,9 @@
 	// record. A record ends the wait at once; a connection that no longer answers is
 	// noticed only when the wait is over.
 	declarationsWait = time.Second
-	// reportsReadDelay is the delay between two reads of the workers' reports. A draining
-	// worker still gets tasks until its report is read.
-	reportsReadDelay = 300 * time.Millisecond
+	// heartbeatsReadDelay is the delay between two reads of the workers' heartbeats. A
+	// draining worker still gets tasks until its heartbeat is read.
+	heartbeatsReadDelay = 300 * time.Millisecond
 )
 
 // New returns a node; Start starts it.
@@ -118,7 +118,7 @@
 	n.peers = jaypeer.NewClient(n.incarnation, peerTimeout, nil)
 	n.peerServer = jaypeer.NewServer(n.incarnation, peerTimeout, n.handlePeer)
 	n.declarations = newDeclarations(n)
-	n.reports = newReports(n)
+	n.heartbeats = newWorkerHeartbeats(n)
 	n.members = newMembers(n)
 	n.intake = newIntake(n)
 	n.registerGauges()
@@ -135,7 +135,7 @@
 	n.logger.Info("started", "incarnation", n.incarnation)
 	n.duties.Go(func() { n.peerServer.Serve(listener, nil) })
 	n.follow(ctx, n.ports.Formats.Declarations(), jaytail.Options{Wait: declarationsWait}, n.declarations)
-	n.follow(ctx, n.ports.Formats.Reports(), jaytail.Options{Pause: reportsReadDelay, Needed: n.ownsSomething, Hurry: n.crowded}, n.reports)
+	n.follow(ctx, n.ports.Formats.Reports(), jaytail.Options{Pause: heartbeatsReadDelay, Needed: n.ownsSomething, Hurry: n.crowded}, n.heartbeats)
 	n.members.Start(ctx)
 	n.intake.start(ctx)
 	return nil
--- a/jaynode/outagewait.go
+++ b/jaynode/outagewait.go
@@ -14,8 +14,8 @@
 	// maxOutageForWait is the duration of an outage after which jobs are rejected at
 	// once: a longer outage rarely ends within the time that a job can wait.
 	maxOutageForWait = 5 * time.Second
-	// minRetryAfter and maxRetryAfter limit the delay that callers are told to wait while
-	// the store accepts no jobs.
+	// minRetryAfter and maxRetryAfter limit the delay after which callers are asked to
+	// retry while the store accepts no jobs.
 	minRetryAfter = time.Second
 	maxRetryAfter = 5 * time.Second
 )
@@ -41,8 +41,8 @@
 	return outageWait
 }
 
-// retryAfter returns the delay that a caller is told to wait: an outage is expected to
-// last about as long again as it already has.
+// retryAfter returns the delay after which a caller is asked to retry: an outage is
+// expected to last about as long again as it already has.
 func retryAfter(outage time.Duration) time.Duration {
 	return min(max(minRetryAfter, outage), maxRetryAfter)
 }
--- a/jaynode/outagewait_test.go
+++ b/jaynode/outagewait_test.go
@@ -85,8 +85,8 @@
 		t.Run("a job is accepted after a short outage in which "+name, func(t *testing.T) {
 			// Guards against losing jobs in a short outage: each job was rejected at
 			// once, and its caller gave up after four retries within 2.5 s. A fifth of
-			// the jobs of a peak load were lost in an outage of two seconds, although
-			// they could still have been done in time.
+			// the jobs of a burst were lost in an outage of two seconds, although they
+			// could still have been done in time.
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				took, err := submitDuringFault(t, time.Second, time.Second, 700*time.Millisecond, fault)
--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -44,8 +44,8 @@
 	name string
 	// loaded is set once the jobs and their progress have been read.
 	loaded atomic.Bool
-	// known is the set of IDs of the jobs that are in the store.
-	known sync.Map
+	// storedJobs is the set of IDs of the jobs that are in the store.
+	storedJobs sync.Map
 	// crowded is set while tasks wait for free capacity.
 	crowded atomic.Bool
 	// latency measures how long the pool's workers take to answer.
@@ -71,7 +71,7 @@
 		jaysched.WithFence(claim.Fence, claim.Term),
 		jaysched.WithPolicies(n.policyOf),
 		jaysched.WithDueTimes(n.dueAt),
-		// The claim was read a moment ago; updateOwnership sets when.
+		// The claim was read a moment ago; updateOwnership records when.
 		jaysched.WithReplaceableOwner(0, ownershipTimeout),
 	}
 	if claim.Term > 1 {
@@ -166,9 +166,10 @@
 	d.post(func(now time.Duration) { d.updateWorkers(now) })
 }
 
-// updateWorkers passes the current workers to the pool, once the reports have been read.
+// updateWorkers passes the current workers to the pool, once the heartbeats have been
+// read.
 func (d *poolDuty) updateWorkers(now time.Duration) {
-	workers, asOf := d.node.reports.of(d.name)
+	workers, asOf := d.node.heartbeats.of(d.name)
 	if asOf > 0 {
 		d.pool.Listed(workers, now)
 	}
@@ -194,8 +195,8 @@
 	}
 }
 
-// throttleRun sets a run's speed. The worker's next report tells whether the order
-// arrived; if it did not, it is sent again.
+// throttleRun sets a run's speed. The worker's next report shows whether the order
+// arrived; if it did not, the order is sent again.
 func (d *poolDuty) throttleRun(a jaysched.ThrottleRun) {
 	order := jayport.ThrottleOrder{Run: a.Run, Fence: d.claim.Fence, Percent: a.Percent}
 	_, err := d.node.ports.Workers.Throttle(a.To, order, d.latency.OrderTimeout())
--- a/jaynode/poolduty_test.go
+++ b/jaynode/poolduty_test.go
@@ -38,9 +38,9 @@
 		t.Fatal(err)
 	}
 	for _, id := range []string{"w0", "w1"} {
-		w.entry.node.reports.workers[id] = jayport.Worker{ID: id, Pool: "seats", Capacity: jaypool.Resources{ProcessorsMilli: 4000, MemoryMegabytes: 4000}}
+		w.entry.node.heartbeats.workers[id] = jayport.Worker{ID: id, Pool: "seats", Capacity: jaypool.Resources{ProcessorsMilli: 4000, MemoryMegabytes: 4000}}
 	}
-	w.entry.node.reports.asOf = clock()
+	w.entry.node.heartbeats.asOf = clock()
 	w.claim = w.entry.claim(jayowner.PoolDuty("seats"), 1, term)
 	w.duty = newPoolDuty(w.entry.node, "seats", w.claim)
 	w.refreshClaims()
@@ -53,7 +53,7 @@
 	return w
 }
 
-// refreshClaims lets the entry know, as of now, that it owns the pool.
+// refreshClaims sets claims by which the entry owns the pool as of now.
 func (w *poolFixture) refreshClaims() {
 	w.entry.setClaims(w.claim)
 }
@@ -129,9 +129,9 @@
 		w := newPoolFixture(t, 1, "w0", "w1")
 		w.refreshClaimsFor(time.Second)
 		join := func(id string) {
-			w.entry.node.reports.mu.Lock()
-			w.entry.node.reports.workers[id] = jayport.Worker{ID: id, Pool: "seats", Capacity: jaypool.Resources{ProcessorsMilli: 4000, MemoryMegabytes: 4000}}
-			w.entry.node.reports.mu.Unlock()
+			w.entry.node.heartbeats.mu.Lock()
+			w.entry.node.heartbeats.workers[id] = jayport.Worker{ID: id, Pool: "seats", Capacity: jaypool.Resources{ProcessorsMilli: 4000, MemoryMegabytes: 4000}}
+			w.entry.node.heartbeats.mu.Unlock()
 			w.duty.workersChanged()
 		}
 		w.entry.store.set(func(s *faultyStore) { s.refuse = true })
--- a/jaynode/poolownership.go
+++ b/jaynode/poolownership.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// updateOwnership tells the pool up to when it is confirmed that this owner has the pool,
-// if the newest claims name this owner.
+// updateOwnership passes the pool the time up to which this owner is confirmed, if the
+// newest claims name this owner.
 func (d *poolDuty) updateOwnership() {
 	view := d.node.members.Owners.View()
 	if view == nil {
@@ -20,9 +20,9 @@
 // not only slow. It is several ticks long.
 const pauseThreshold = 500 * time.Millisecond
 
-// detectPause tells the pool if the process was paused since the last call. It is called
-// before each event, since the event may be a query that must not be answered from old
-// state.
+// detectPause notifies the pool if the process was paused since the last call. It is
+// called before each event, since the event may be a query that must not be answered from
+// old state.
 func (d *poolDuty) detectPause(now time.Duration) {
 	if d.lastActiveAt > 0 && now-d.lastActiveAt > pauseThreshold {
 		d.logger.Info("process was paused", "lasted", (now - d.lastActiveAt).String())
@@ -42,9 +42,9 @@
 )
 
 // minTakeoverTime returns how long after a moment without another claim no other owner
-// can have sent an order yet. It is zero unless the store is slow; then a takeover takes
-// at least that many calls. Without this allowance, new workers and jobs would wait for
-// each confirmation of the ownership by a slow store.
+// can have sent an order yet. It is zero unless the store is slow; then it is the time of
+// one call fewer than takeoverCalls. Without this allowance, new workers and jobs would
+// wait for each confirmation of the ownership by a slow store.
 func (d *poolDuty) minTakeoverTime() time.Duration {
 	latency := d.node.store.Latency()
 	if latency < slowStoreLatency {
--- a/jaynode/queries.go
+++ b/jaynode/queries.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// ownerRetry is the delay that a caller is told to wait while a pool changes its
-	// owner.
-	ownerRetry = time.Second
+	// ownerRetryAfter is the delay after which a caller is asked to retry while a pool
+	// changes its owner.
+	ownerRetryAfter = time.Second
 	// queryRetryDelay is the delay before a query is repeated whose owner did not answer.
 	queryRetryDelay = 30 * time.Millisecond
 )
@@ -68,7 +68,7 @@
 	}}
 	var pending int
 	began := n.clock()
-	err := n.untilOwned(queue.Pool, deadline, request, func(r *jaywire.PeerResponse) bool {
+	err := n.askUntilAnswered(queue.Pool, deadline, request, func(r *jaywire.PeerResponse) bool {
 		answer := r.GetPending()
 		pending = int(answer.GetPending())
 		return answer.GetOwned()
@@ -78,7 +78,7 @@
 }
 
 func (n *Node) askOwner(pool string, deadline time.Duration, request *jaywire.PeerRequest) (state jaysched.State, known bool, err error) {
-	err = n.untilOwned(pool, deadline, request, func(r *jaywire.PeerResponse) bool {
+	err = n.askUntilAnswered(pool, deadline, request, func(r *jaywire.PeerResponse) bool {
 		answer := r.GetJob()
 		known = answer.GetKnown()
 		state = stateOf(answer.GetState())
@@ -87,9 +87,9 @@
 	return state, known, err
 }
 
-// untilOwned repeats a query until the owner of the pool answers or the deadline has
-// passed. The queries are idempotent.
-func (n *Node) untilOwned(pool string, deadline time.Duration, request *jaywire.PeerRequest, owned func(*jaywire.PeerResponse) bool) error {
+// askUntilAnswered repeats a query until the owner of the pool answers or the deadline
+// has passed. The queries are idempotent.
+func (n *Node) askUntilAnswered(pool string, deadline time.Duration, request *jaywire.PeerRequest, owned func(*jaywire.PeerResponse) bool) error {
 	until := n.clock() + deadline
 	for {
 		if c, ok := n.members.Owners.Of(jayowner.PoolDuty(pool)); ok {
@@ -99,7 +99,7 @@
 			}
 		}
 		if n.clock()+queryRetryDelay >= until {
-			return jayverdict.NewNotRun(statusUnavailable, "the pool has no owner that answers", ownerRetry)
+			return jayverdict.NewNotRun(statusUnavailable, "the pool has no owner that answers", ownerRetryAfter)
 		}
 		time.Sleep(queryRetryDelay)
 	}
@@ -166,14 +166,14 @@
 	if duty == nil || !duty.loaded.Load() {
 		return answer
 	}
-	doubted := false
+	inDoubt := false
 	asked := duty.ask(func() {
-		doubted = duty.pool.InDoubt()
+		inDoubt = duty.pool.InDoubt()
 		state, known := query(duty.pool, n.clock())
 		answer.Known = known
 		answer.State = jaywire.JobState(state) + jaywire.JobState_JOB_STATE_QUEUED
 	}, askTimeout)
-	if !asked || doubted {
+	if !asked || inDoubt {
 		return &jaywire.JobAnswer{}
 	}
 	// An unknown job may have been submitted a moment ago.
--- a/jaynode/queries_test.go
+++ b/jaynode/queries_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestStaleOwnerDoesNotReportUnknownJobs(t *testing.T) {
-	// Guards against telling a caller that an accepted job does not exist: the pool's
-	// owner was cut off from the store, another entry stored the job meanwhile, and the
-	// owner answered from data that it had read seconds before.
+	// Guards against answering that an accepted job does not exist: the pool's owner was
+	// cut off from the store, another entry stored the job meanwhile, and the owner
+	// answered from data that it had read seconds before.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newPoolFixture(t, 1)
--- a/jaynode/settings.go
+++ b/jaynode/settings.go
@@ -7,15 +7,15 @@
 	Entry      string
 	DataCenter string
 	PeerAddr   string
-	// ProcessorsMilli and LinkMegabits are the entry's share of its machine.
+	// ProcessorsMilli and LinkMegabits are the entry's share of its host.
 	ProcessorsMilli int64
 	LinkMegabits    int64
 	// MaxLease is the longest lease that a worker accepts.
 	MaxLease time.Duration
 	// StopTime is the maximum time that a worker takes to stop a run.
 	StopTime time.Duration
-	// FarFactor is the factor by which a task takes longer on a worker that is not close
-	// to the task's data or rack.
+	// FarFactor is the factor by which a task takes longer on a worker outside the rack
+	// of its data or of its step.
 	FarFactor float64
 	// MoveTime and MaintenanceTime are how long a host is unavailable during a move and
 	// during maintenance.
--- a/jaynode/stored_test.go
+++ b/jaynode/stored_test.go
@@ -95,24 +95,24 @@
 	})
 }
 
-// reportFormats fails to read reports with the value "bad".
-type reportFormats struct{ testFormats }
+// heartbeatFormats fails to decode heartbeats with the value "bad".
+type heartbeatFormats struct{ testFormats }
 
-// Reported reads a report; its value is the worker's pool.
-func (reportFormats) Reported(r jayport.Record) (jayport.Worker, error) {
+// Reported decodes a heartbeat; its value is the worker's pool.
+func (heartbeatFormats) Reported(r jayport.Record) (jayport.Worker, error) {
 	if string(r.Value) == "bad" {
 		return jayport.Worker{}, errors.New("no worker")
 	}
 	return jayport.Worker{ID: r.Key, Pool: string(r.Value)}, nil
 }
 
-func TestUnreadableReportRemovesWorker(t *testing.T) {
-	// Guards against starting runs on a worker whose report was overwritten with bytes
-	// that cannot be read: the previous report was kept.
+func TestUnreadableHeartbeatRemovesWorker(t *testing.T) {
+	// Guards against starting runs on a worker whose heartbeat was overwritten with bytes
+	// that cannot be decoded: the previous heartbeat was kept.
 	is := is.New(t)
 	changed := map[string]int{}
-	n := New(Settings{Entry: "e1"}, Ports{Formats: reportFormats{}}, logr.Discard())
-	r := n.reports
+	n := New(Settings{Entry: "e1"}, Ports{Formats: heartbeatFormats{}}, logr.Discard())
+	r := n.heartbeats
 	r.poolChanged = func(pool string) { changed[pool]++ }
 	for _, key := range []string{"i-1", "i-2"} {
 		r.Apply(jayport.Record{Key: key, Value: []byte("seats")})
@@ -135,12 +135,12 @@
 	is.True(len(r.unreadable) <= maxUnreadable)
 }
 
-// TestOlderReportsAreIgnored guards against going back to a former incarnation of a
+// TestOlderHeartbeatsAreIgnored guards against going back to a former incarnation of a
 // worker: a reload and the reads after it can return the same records twice.
-func TestOlderReportsAreIgnored(t *testing.T) {
+func TestOlderHeartbeatsAreIgnored(t *testing.T) {
 	is := is.New(t)
-	n := New(Settings{Entry: "e1"}, Ports{Formats: reportFormats{}}, logr.Discard())
-	r := n.reports
+	n := New(Settings{Entry: "e1"}, Ports{Formats: heartbeatFormats{}}, logr.Discard())
+	r := n.heartbeats
 	r.poolChanged = func(string) {}
 	r.Apply(jayport.Record{Key: "i-1", Value: []byte("seats"), Offset: 7})
 	r.Apply(jayport.Record{Key: "i-1", Value: []byte("fees"), Offset: 6})
--- a/jaynode/takeover.go
+++ b/jaynode/takeover.go
@@ -72,8 +72,8 @@
 // answer. Each read has a cost.
 const surveyInterval = 500 * time.Millisecond
 
-// survey tells the pool which workers exist according to the inventory, while the pool
-// waits for answers from some of them.
+// survey passes the workers in the inventory to the pool, while the pool waits for
+// answers from some of them.
 func (d *poolDuty) survey() {
 	for d.ctx.Err() == nil {
 		needed := false
@@ -215,15 +215,15 @@
 // unchanged.
 func (d *poolDuty) declare(job *jayspec.Job, how string, declare func(*jayspec.Job, time.Duration) bool) {
 	d.post(func(now time.Duration) {
-		d.known.Store(job.ID, true)
+		d.storedJobs.Store(job.ID, true)
 		if declare(job, now) {
 			d.logger.Info("job declared", "job", job.ID, "queue", job.Queue, "steps", job.Summary(), "coreSeconds", job.Work(), "within", d.pool.TimeFor(job.ID).String(), "how", how)
 		}
 	})
 }
 
-// expect tells the duty of a pool, if this entry owns the pool, of a job that is about to
-// be stored.
+// expect notifies the duty of a pool, if this entry owns the pool, of a job that is about
+// to be stored.
 func (n *Node) expect(pool, id string, value []byte) {
 	duty := n.ownedPool(pool)
 	if duty == nil || !duty.loaded.Load() {
@@ -249,20 +249,20 @@
 	duty.declare(job, "stored", duty.pool.Declare)
 }
 
-// knows reports whether this entry owns a pool and knows a job of it. Known jobs have
-// been read from the store or stored by this entry.
-func (n *Node) knows(pool, id string) bool {
+// isStored reports whether this entry owns a pool and has read a job of the pool from the
+// store or has stored it.
+func (n *Node) isStored(pool, id string) bool {
 	duty := n.ownedPool(pool)
 	if duty == nil || !duty.loaded.Load() {
 		return false
 	}
-	_, known := duty.known.Load(id)
+	_, known := duty.storedJobs.Load(id)
 	return known
 }
 
 func (t *jobTail) restore(job *jayspec.Job, progress *jaywire.JobProgress, recorded bool) {
 	pool, now := t.duty.pool, t.duty.node.clock()
-	t.duty.known.Store(job.ID, true)
+	t.duty.storedJobs.Store(job.ID, true)
 	if outcome := jaysched.OutcomeOf(progress); outcome != jaysched.Open {
 		pool.RestoreEnded(job.ID, outcome, now)
 		return
@@ -288,7 +288,7 @@
 	for id, progress := range recorded {
 		if outcome := jaysched.OutcomeOf(progress); outcome != jaysched.Open {
 			t.duty.pool.RestoreEnded(id, outcome, now)
-			t.duty.known.Store(id, true)
+			t.duty.storedJobs.Store(id, true)
 			t.ended++
 		}
 	}
