--- a/jaymember/claims.go
+++ b/jaymember/claims.go
@@ -24,11 +24,11 @@
 	// claimTimeout limits the duration of the append of a claim. A slow store takes
 	// several hundred milliseconds.
 	claimTimeout = 1500 * time.Millisecond
-	// settleTime is the time after this entry's start before it claims any vacant duty,
-	// so that entries that are started together know of each other: a weak entry takes
-	// half a second until it is announced. An entry that claims too early takes all
-	// duties.
-	settleTime = 900 * time.Millisecond
+	// firstClaimDelay is the time after this entry's start before it claims any vacant
+	// duty, so that entries that are started together have read each other's
+	// announcements: a weak entry takes half a second until it is announced. An entry
+	// that claims too early takes all duties.
+	firstClaimDelay = 900 * time.Millisecond
 	// ownShareDelay is the time after this entry's start before it claims its own share
 	// of the duties. The claims and the entries must have been read by then.
 	ownShareDelay = 100 * time.Millisecond
@@ -80,7 +80,7 @@
 
 // dueClaims returns the claims that this entry should make now.
 func (o *Owners) dueClaims(view *View, vacant []jayowner.Duty, now time.Duration) []jayport.Record {
-	if !o.settled(now) {
+	if !o.firstClaimDelayPassed(now) {
 		return o.ownShare(view, vacant, now)
 	}
 	rankings := jayowner.Rankings(vacant, dutyCounts(view), o.candidates(now))
@@ -109,16 +109,16 @@
 	}.Record()
 }
 
-// settled reports whether settleTime has passed, so that entries that were started
-// together with this one should be known.
-func (o *Owners) settled(now time.Duration) bool {
-	return now-o.members.StartedAt >= settleTime
+// firstClaimDelayPassed reports whether entries that were started together with this one
+// should be known: firstClaimDelay has passed.
+func (o *Owners) firstClaimDelayPassed(now time.Duration) bool {
+	return now-o.members.StartedAt >= firstClaimDelay
 }
 
 // ownShare returns the claims of the vacant duties that are assigned to this entry among
 // all entry names that were ever announced. After the loss of all entries it is not known
 // which ones are running again, but all entries know the names. So each entry claims
-// different duties, and no pool waits until settleTime has passed.
+// different duties, and no pool waits until firstClaimDelay has passed.
 func (o *Owners) ownShare(view *View, vacant []jayowner.Duty, now time.Duration) []jayport.Record {
 	var candidates []jayowner.Candidate
 	for name, e := range o.members.Entries.names() {
@@ -139,8 +139,8 @@
 // awaitRead waits until the claims have been read past an offset, for a short time at
 // most.
 func (o *Owners) awaitRead(ctx context.Context, offset int64) {
-	const looks, pause = 20, 10 * time.Millisecond
-	for range looks {
+	const polls, pause = 20, 10 * time.Millisecond
+	for range polls {
 		if o.table.Load().next > offset {
 			return
 		}
@@ -158,7 +158,7 @@
 			delete(o.vacantSince, d)
 			continue
 		}
-		if _, noted := o.vacantSince[d]; !noted {
+		if _, seen := o.vacantSince[d]; !seen {
 			o.vacantSince[d] = now
 		}
 		vacant = append(vacant, d)
@@ -168,13 +168,13 @@
 
 // dutyCounts returns the number of duties of each owner.
 func dutyCounts(view *View) map[string]int {
-	held := map[string]int{}
+	counts := map[string]int{}
 	for _, c := range view.Claims() {
 		if !c.Released {
-			held[c.Incarnation]++
+			counts[c.Incarnation]++
 		}
 	}
-	return held
+	return counts
 }
 
 // candidates returns the entries that are not presumed to have ended.
--- a/jaymember/entries_test.go
+++ b/jaymember/entries_test.go
@@ -13,10 +13,10 @@
 )
 
 func TestRestartedActorHasEnded(t *testing.T) {
-	// Guards against a pool under peak load that gets no host for three seconds after all
+	// Guards against a pool in a burst that gets no host for three seconds after all
 	// entries lost power. An entry moved hosts, released its duties and was restarted
-	// shortly before the power loss. The fleet's new owner left these hosts alone, since
-	// only the last owner of a duty was known to have ended.
+	// shortly before the power loss. The fleet's new owner sent no commands to these
+	// hosts, since only the last owner of a duty was known to have ended.
 	is := is.New(t)
 	m := newTestMembers(t, "e1", newMemoryStore(), jayclock.Since(time.Now()))
 	acted := time.UnixMilli(1_000_000)
--- a/jaymember/fakes_test.go
+++ b/jaymember/fakes_test.go
@@ -115,7 +115,7 @@
 	})
 }
 
-// publish sets the claims that the membership knows, as of now.
+// publish sets the claims that the membership has read, as of now.
 func (m *Members) publish(claims ...jayowner.Claim) {
 	table := jayowner.NewTable()
 	for n, c := range claims {
--- a/jaymember/heartbeat.go
+++ b/jaymember/heartbeat.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// checkHeartbeats reads the newest heartbeat of each suspected owner. While the store
-// does not answer, no heartbeat counts as missing.
+// checkHeartbeats reads the newest heartbeat of each suspected owner. While the store is
+// unavailable, no heartbeat counts as missing.
 func (l *Liveness) checkHeartbeats() {
 	for _, incarnation := range l.suspected() {
 		heartbeat, err := l.newestHeartbeat(incarnation)
@@ -113,24 +113,24 @@
 		return
 	}
 	s.heartbeatRead, s.offset = true, heartbeat.Offset
-	s.silentSince = l.lastSignOfLife(s, incarnation, heartbeat, now)
+	s.silentSince = l.lastKnownAlive(s, incarnation, heartbeat, now)
 }
 
-// lastSignOfLife returns when a suspected owner was last known to be alive, on this
+// lastKnownAlive returns when a suspected owner was last known to be alive, on this
 // entry's clock. The newest heartbeat holds the time of the owner's own clock at which it
 // was written, and the owner's answers to pings relate that clock to this one. If the
 // time were counted from the first read of the heartbeats, the loss of an owner would be
 // detected later, since an owner is suspected only after a ping has timed out. While the
 // store is unavailable no heartbeat can be written, so the time does not start before the
-// store is back.
-func (l *Liveness) lastSignOfLife(s *suspicion, incarnation string, heartbeat jayport.Record, now time.Duration) time.Duration {
+// store is available again.
+func (l *Liveness) lastKnownAlive(s *suspicion, incarnation string, heartbeat jayport.Record, now time.Duration) time.Duration {
 	written, readable := writtenAt(heartbeat.Value)
 	clock, known := l.clocks[incarnation]
 	if s.storeFailed || !readable || !known {
 		return now
 	}
-	sign := max(clock.By(written), l.lastAnswered[incarnation], l.members.Store.RegainedAt())
-	return min(sign, now)
+	alive := max(clock.By(written), l.lastAnswered[incarnation], l.members.Store.RegainedAt())
+	return min(alive, now)
 }
 
 // restartTimeouts restarts the timeouts of all suspected owners.
--- a/jaymember/liveness.go
+++ b/jaymember/liveness.go
@@ -33,11 +33,11 @@
 	// pings of this entry unanswered. If this entry reaches the others, it is the owner
 	// that is cut off, and callers cannot reach it.
 	isolatedTimeout = 2500 * time.Millisecond
-	// recentAnswer is how recently the other entries must have answered a ping for this
-	// entry to count as reaching them.
-	recentAnswer = time.Second
+	// recentAnswerTime is how recently the other entries must have answered a ping for
+	// this entry to count as reaching them.
+	recentAnswerTime = time.Second
 	// othersPinged is how many entries without duties are pinged in each round, so that
-	// this entry can tell whether it is cut off itself.
+	// this entry can determine whether it is cut off itself.
 	othersPinged = 2
 )
 
@@ -75,7 +75,7 @@
 	offset        int64
 	heartbeatRead bool
 	silentSince   time.Duration
-	// storeFailed is set if the store did not answer during the suspicion, so that the
+	// storeFailed is set if the store was unavailable during the suspicion, so that the
 	// owner may have been unable to write heartbeats.
 	storeFailed bool
 }
@@ -153,11 +153,11 @@
 func (l *Liveness) reachesOthers(but string, now time.Duration) bool {
 	pinged, answered := 0, 0
 	for incarnation, at := range l.lastPinged {
-		if incarnation == but || l.replaced[incarnation] || now-at > recentAnswer {
+		if incarnation == but || l.replaced[incarnation] || now-at > recentAnswerTime {
 			continue
 		}
 		pinged++
-		if now-l.lastAnswered[incarnation] < recentAnswer {
+		if now-l.lastAnswered[incarnation] < recentAnswerTime {
 			answered++
 		}
 	}
@@ -168,15 +168,15 @@
 func (l *Liveness) pingOwners(ctx context.Context) {
 	for ctx.Err() == nil {
 		if view := l.members.Owners.table.Load(); view != nil {
-			asked := map[string]bool{l.members.Incarnation: true}
+			pinged := map[string]bool{l.members.Incarnation: true}
 			for _, c := range view.Claims() {
-				if !c.Released && !asked[c.Incarnation] {
-					asked[c.Incarnation] = true
+				if !c.Released && !pinged[c.Incarnation] {
+					pinged[c.Incarnation] = true
 					l.members.Go(func() { l.ping(c) })
 				}
 			}
-			l.dropSuspicions(asked)
-			for _, e := range l.nextOthers(asked) {
+			l.dropSuspicions(pinged)
+			for _, e := range l.nextOthers(pinged) {
 				l.members.Go(func() { l.pingOther(e) })
 			}
 		}
@@ -185,7 +185,7 @@
 }
 
 // nextOthers returns some entries, in turn, that are not pinged as owners.
-func (l *Liveness) nextOthers(asked map[string]bool) []*jaywire.EntryRecord {
+func (l *Liveness) nextOthers(pinged map[string]bool) []*jaywire.EntryRecord {
 	all := l.members.Entries.All()
 	slices.SortFunc(all, func(a, b *jaywire.EntryRecord) int { return strings.Compare(a.Incarnation, b.Incarnation) })
 	l.mu.Lock()
@@ -193,7 +193,7 @@
 	var others []*jaywire.EntryRecord
 	for range all {
 		l.nextOther++
-		if e := all[l.nextOther%len(all)]; !asked[e.Incarnation] && !l.replaced[e.Incarnation] && len(others) < othersPinged {
+		if e := all[l.nextOther%len(all)]; !pinged[e.Incarnation] && !l.replaced[e.Incarnation] && len(others) < othersPinged {
 			others = append(others, e)
 		}
 	}
--- a/jaymember/liveness_test.go
+++ b/jaymember/liveness_test.go
@@ -69,7 +69,7 @@
 func TestLostOwnerIsDetected(t *testing.T) {
 	silent, refused := jayport.ErrNoAnswer, jaypeer.ErrGone
 	synctest.Test(t, func(t *testing.T) {
-		// Guards against a pool without an owner for 1.2 s after its owner's machine lost
+		// Guards against a pool without an owner for 1.2 s after its owner's host lost
 		// power. Heartbeats did not hold the time at which they were written, so the
 		// newest one was taken for written when it was first read, after a ping had timed
 		// out (0.35 s).
@@ -121,9 +121,9 @@
 		is.New(t).Equal(w.suspectedAfter(jayport.ErrNoAnswer, 10*time.Second, heartbeats), 10*time.Second)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		// Guards against replacing every owner that missed a ping when the store is back
-		// after an outage of two seconds. The newest heartbeats were two seconds old,
-		// because none could be written in the meantime.
+		// Guards against replacing every owner that missed a ping when the store is
+		// available again after an outage of two seconds. The newest heartbeats were two
+		// seconds old, because none could be written in the meantime.
 		w := newPingedOwner(t)
 		w.heartbeat()
 		w.pong()
--- a/jaymember/members.go
+++ b/jaymember/members.go
@@ -42,7 +42,7 @@
 	Incarnation string
 	PeerAddr    string
 	DataCenter  string
-	// ProcessorsMilli and LinkMegabits are the entry's share of its machine.
+	// ProcessorsMilli and LinkMegabits are the entry's share of its host.
 	ProcessorsMilli int64
 	LinkMegabits    int64
 	// Started is when the entry was started, and StartedAt is the same moment on Clock.
@@ -68,7 +68,8 @@
 	Go func(func())
 }
 
-// Members is the membership of an entry: the entries and owners that it knows.
+// Members is the membership of an entry: the entries and owners that it has read from the
+// store.
 type Members struct {
 	Options
 
