--- a/jayowner/assign.go
+++ b/jayowner/assign.go
@@ -11,21 +11,22 @@
 // Candidate is an entry that can own duties.
 type Candidate struct {
 	Incarnation string
-	// Strength is the capacity of the entry, such as its share of the machine's
-	// processors. Stronger entries get duties first.
+	// Strength is the capacity of the entry, such as its share of the host's processors.
+	// Stronger entries get duties first.
 	Strength int64
 	// Started is when the entry was started, in milliseconds of its own time of day.
 	Started int64
 }
 
 // Rankings returns for each vacant duty the candidates in the order in which they should
-// claim it. All entries compute the same rankings from the same claims. Duties are
-// spread: a duty goes to the candidate with the fewest duties in relation to its
-// strength, and among equals to the one that was started last: while all entries are
-// restarted in turn, that one has already been restarted and keeps the duty.
-func Rankings(vacant []Duty, held map[string]int, candidates []Candidate) map[Duty][]string {
+// claim it. All entries compute the same rankings from the same claims; dutyCounts is the
+// number of duties of each owner. Duties are spread: a duty goes to the candidate with
+// the fewest duties in relation to its strength, and among equals to the one that was
+// started last: while all entries are restarted in turn, that one has already been
+// restarted and keeps the duty.
+func Rankings(vacant []Duty, dutyCounts map[string]int, candidates []Candidate) map[Duty][]string {
 	load := make(map[string]int, len(candidates))
-	for id, n := range held {
+	for id, n := range dutyCounts {
 		load[id] = n
 	}
 	duties := slices.Clone(vacant)
@@ -54,8 +55,9 @@
 	return rankings
 }
 
-// Share returns the duties that are assigned to one candidate if nobody owns any. The
-// shares of all candidates are disjoint if they are computed from the same candidates.
+// Share returns the duties that are assigned to one candidate if no duty has an owner.
+// The shares of all candidates are disjoint if they are computed from the same
+// candidates.
 func Share(duties []Duty, candidates []Candidate, own string) []Duty {
 	var share []Duty
 	for d, ranked := range Rankings(duties, nil, candidates) {
--- a/jayowner/owner_test.go
+++ b/jayowner/owner_test.go
@@ -58,7 +58,7 @@
 
 func TestShares(t *testing.T) {
 	// Guards against pools that are not served for a second after the loss of all
-	// entries. The entries came back at once, and each waited until the others were
+	// entries. The entries were restarted at once, and each waited until the others were
 	// announced, since the first one would have taken all duties. Shares are computed
 	// from the known names of entries instead of the running ones.
 	is := is.New(t)
--- a/jayowner/turnover.go
+++ b/jayowner/turnover.go
@@ -8,9 +8,9 @@
 const (
 	// turnoverWindow is how long a change of a duty's owner is counted.
 	turnoverWindow = 15 * time.Second
-	// allowedTurnovers is the number of changes within turnoverWindow that do not count
-	// as mistakes, since entries may be restarted in turn.
-	allowedTurnovers = 3
+	// allowedClaims is the number of claims within turnoverWindow that do not count as
+	// mistakes by themselves, since entries may be restarted in turn.
+	allowedClaims = 3
 	// maxTimeoutFactor limits the factor by which an owner may be silent for longer than
 	// usual.
 	maxTimeoutFactor = 16
@@ -47,11 +47,12 @@
 // than usual before it is presumed to have ended.
 //
 // An owner with a narrow network link reads the jobs of the pool that it takes over, and
-// for a second or two nothing else gets through. Another entry presumes that it has
+// for a second or two nothing else passes the link. Another entry presumes that it has
 // ended, takes over and becomes silent for the same reason. The duty then changes its
-// owner for as long as there is much to read, and nobody performs it. Such mistakes show
-// by owners that come back, since a process that had ended could not. Each mistake
-// doubles the factor, so that one owner finally has the time to read everything.
+// owner for as long as there is much to read, and no entry performs it. A claim by a
+// recent owner shows such a mistake, since a process that had ended could not claim
+// again; so does each claim after the first allowedClaims. Each mistake doubles the
+// factor, so that one owner finally has the time to read everything.
 func (t *Turnover) TimeoutFactor(d Duty, now time.Duration) int {
 	factor := 1
 	var owners []string
@@ -59,7 +60,7 @@
 		if p.at < now-turnoverWindow {
 			continue
 		}
-		mistaken := len(owners) >= allowedTurnovers || slices.Contains(owners, p.incarnation)
+		mistaken := len(owners) >= allowedClaims || slices.Contains(owners, p.incarnation)
 		if mistaken {
 			factor = min(2*factor, maxTimeoutFactor)
 		}
