--- a/jayfleet/balance.go
+++ b/jayfleet/balance.go
@@ -11,8 +11,8 @@
 
 const (
 	// idleMoves is how long an unneeded host must have been idle before it is moved to
-	// standby, as a multiple of the move time. A burst that begins earlier would otherwise
-	// wait for a move in each direction.
+	// standby, as a multiple of the move time. A pool whose burst begins shortly after
+	// would otherwise wait for a move in each direction.
 	idleMoves = 0.8
 	// fastMoveTime is the longest move time with which hosts can follow bursts of load.
 	// Slower hosts arrive when a burst of a few seconds is over, so that a pool is served
@@ -36,10 +36,10 @@
 	// have been submitted.
 	takeoverDelay = 3 * time.Second
 	// soonEmptyMoves is the maximum estimated time for a busy host to become empty for it
-	// to be given to a pool that needs it more, as a multiple of the move time.
+	// to be moved to a pool that needs it more, as a multiple of the move time.
 	soonEmptyMoves = 0.55
-	// reclaimDrainMoves is the time after which such a host that is still not empty stays
-	// in its pool, as a multiple of the move time.
+	// reclaimDrainMoves is the time after which a host that is drained for another pool
+	// and is still not empty stays in its pool, as a multiple of the move time.
 	reclaimDrainMoves = 1.0
 )
 
@@ -121,15 +121,15 @@
 			to.have++
 			continue
 		}
-		if !f.take(to, balances, now) {
+		if !f.reclaim(to, balances, now) {
 			return
 		}
 	}
 }
 
-// take vacates a host of another pool for the given one. It returns false if no pool has a
-// host to give.
-func (f *Fleet) take(to *poolBalance, balances []*poolBalance, now time.Duration) bool {
+// reclaim vacates a host of another pool for the given one. It returns false if no other
+// pool has a host that it does not need.
+func (f *Fleet) reclaim(to *poolBalance, balances []*poolBalance, now time.Duration) bool {
 	for _, from := range balances {
 		if from == to {
 			continue
@@ -148,7 +148,7 @@
 	return false
 }
 
-// drop removes a host from the lists of hosts that may be given away.
+// drop removes a host from the lists of hosts that may be moved to another pool.
 func (b *poolBalance) drop(h *host) {
 	is := func(other *host) bool { return other == h }
 	b.idle = slices.DeleteFunc(b.idle, is)
@@ -224,7 +224,7 @@
 	return first
 }
 
-// balances returns the balance of each pool with a current demand, the pool that lacks
+// balances returns the balance of each pool with a current demand, the pool that lacks the
 // most hosts first.
 func (f *Fleet) balances(now time.Duration) []*poolBalance {
 	var balances []*poolBalance
@@ -277,8 +277,8 @@
 	return b
 }
 
-// sort orders the hosts that may be given away: idle ones by longest idle time, others by
-// shortest time until they are empty.
+// sort orders the hosts that may be moved to another pool: idle ones by longest idle time,
+// others by shortest time until they are empty.
 func (b *poolBalance) sort(d Demand) {
 	slices.SortStableFunc(b.idle, func(a, b *host) int {
 		return cmp.Compare(d.Loads[b.Worker].Idle, d.Loads[a.Worker].Idle)
--- a/jayfleet/fleet.go
+++ b/jayfleet/fleet.go
@@ -68,10 +68,10 @@
 	EmptyIn time.Duration
 }
 
-// Vacate tells a pool how to empty a worker.
+// Vacate specifies how a pool is to empty a worker.
 type Vacate struct {
-	// Urgent allows stopping all runs except long ones. Migrate allows stopping runs that
-	// can continue on another worker.
+	// Urgent allows stopping all runs except long-running ones. Migrate allows stopping
+	// runs that can continue on another worker.
 	Urgent  bool
 	Migrate bool
 }
@@ -218,7 +218,7 @@
 			f.notes = append(f.notes, Note{Host: listed.Name, Pool: listed.Pool, State: listed.State, Worker: listed.Worker})
 		}
 		h.Host = listed
-		h.settle(asked)
+		h.clearCompletedCommand(asked)
 	}
 	f.sorted = slices.DeleteFunc(f.sorted, func(h *host) bool {
 		if !present[h.Name] {
@@ -229,12 +229,13 @@
 	slices.SortFunc(f.sorted, func(a, b *host) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// settle clears a command that the listing shows to be complete: it was accepted before
-// the listing was requested, and the host is neither moving nor being maintained.
-func (h *host) settle(asked time.Duration) {
-	over := h.command != nil && h.commandDone > 0 && h.commandDone < asked &&
+// clearCompletedCommand clears a command that the listing shows to be complete: it was
+// accepted before the listing was requested, and the host is neither moving nor being
+// maintained.
+func (h *host) clearCompletedCommand(asked time.Duration) {
+	completed := h.command != nil && h.commandDone > 0 && h.commandDone < asked &&
 		(h.State == jayport.HostUp || h.State == jayport.HostDown)
-	if over {
+	if completed {
 		h.command = nil
 		h.commandDone = 0
 		h.vacating = notVacating
@@ -348,7 +349,7 @@
 	}
 }
 
-// load returns the load that the host's pool last reported for it.
+// load returns the load that the pool of a host last reported for the host.
 func (f *Fleet) load(h *host) (Load, bool) {
 	d, ok := f.demands[h.Pool]
 	if !ok {
--- a/jayfleet/fleet_test.go
+++ b/jayfleet/fleet_test.go
@@ -70,8 +70,8 @@
 		is.Equal(w.hostsUp("fees"), 3)
 	})
 	t.Run("hosts with recent commands of the previous owner are held", func(t *testing.T) {
-		// Guards against two owners acting on one instance in turns: the next owner did
-		// not know of the lost owner's command and moved the instance again immediately.
+		// Guards against two owners acting on one instance in turns: the next owner had
+		// not read the lost owner's command and moved the instance again immediately.
 		is := is.New(t)
 		w := newWorld(t, map[string]int{"seats": 1, "standby": 3})
 		w.fleet.settings.HeldUntil = map[string]time.Duration{"m1": w.now + time.Second, "m2": w.now + time.Second}
--- a/jayfleet/guard.go
+++ b/jayfleet/guard.go
@@ -42,9 +42,9 @@
 // second.
 //
 // A command is therefore recorded before it is sent, and sent immediately afterwards. The
-// next owner fences off the previous owner's records before it reads them, so that it
-// knows each command that may still be sent, and sends no command to that host until the
-// earlier one must have completed.
+// next owner fences the previous owner's producer before it reads the records, so that it
+// has read each command that may still be sent, and sends no command to the same host
+// until the earlier one must have completed.
 type Guard struct {
 	// FencesChecked reports whether the inventory rejects a fence lower than the highest
 	// one that it has seen for the host.
--- a/jayfleet/guard_test.go
+++ b/jayfleet/guard_test.go
@@ -106,7 +106,7 @@
 	skew time.Duration
 	// sinceStart is the time between the start of the second owner and the takeover.
 	sinceStart time.Duration
-	// clockKnown reports whether the second owner knows the first one's clock.
+	// clockKnown reports whether the second owner has the first one's clock.
 	clockKnown bool
 }
 
--- a/jayfleet/share.go
+++ b/jayfleet/share.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// shareDelayMoves is how long a pool must have lacked hosts before other pools give up
-	// hosts that they could use themselves, as a multiple of the move time. Most bursts
-	// end sooner.
+	// shareDelayMoves is how long a pool must have lacked hosts before other pools must
+	// release hosts that they could use themselves, as a multiple of the move time. Most
+	// bursts end sooner.
 	shareDelayMoves = 3
-	// shareDrainMoves is the maximum time for a host to become empty when it is given to
-	// another pool as its share, as a multiple of the move time.
+	// shareDrainMoves is the maximum time for a host to become empty when it is moved to
+	// another pool as part of that pool's share, as a multiple of the move time.
 	shareDrainMoves = 2
 	// shortShare is the fraction of its share below which a pool lacks hosts.
 	shortShare = 0.5
@@ -32,7 +32,7 @@
 			continue
 		}
 		for float64(to.have) < (1-shareTolerance)*float64(shares[n]) {
-			if !f.takeShare(to, balances, shares, now) {
+			if !f.reclaimShare(to, balances, shares, now) {
 				return
 			}
 		}
@@ -54,9 +54,10 @@
 	return now-since >= f.moves(shareDelayMoves)
 }
 
-// takeShare vacates, for the given pool, the host that becomes empty first in the pool
-// that is furthest above its share. It returns false if no pool has a host to give.
-func (f *Fleet) takeShare(to *poolBalance, balances []*poolBalance, shares []int, now time.Duration) bool {
+// reclaimShare vacates, for the given pool, the host that becomes empty first in the pool
+// that is furthest above its share. It returns false if no pool above its share has a host
+// that becomes empty in time.
+func (f *Fleet) reclaimShare(to *poolBalance, balances []*poolBalance, shares []int, now time.Duration) bool {
 	var from *poolBalance
 	most := 0.0
 	for n, b := range balances {
--- a/jayfleet/waves.go
+++ b/jayfleet/waves.go
@@ -43,9 +43,10 @@
 
 // runWaves starts maintenance on empty hosts and vacates others.
 //
-// It is designed for a burst of a pool in the middle of a wave. A wave keeps an even pace
-// and takes no hosts while a pool lacks some, as long as it can still meet its deadline.
-// It can usually wait, because most hosts are on standby once in each cycle of the bursts.
+// It is designed for a burst of a pool in the middle of a wave. A wave keeps an even pace.
+// While a pool lacks hosts, it takes only those that take long to empty, as long as it can
+// still meet its deadline. It can usually wait, because most hosts are on standby once in
+// each cycle of the bursts.
 func (f *Fleet) runWaves(now time.Duration) {
 	for _, w := range f.sortedWaves() {
 		f.runWave(w, now)
@@ -113,9 +114,9 @@
 
 // maintain starts maintenance on empty hosts and vacates others, up to the given number,
 // and returns how many it has selected.
-func (f *Fleet) maintain(w *wave, hosts []*host, room int, late bool, now time.Duration) (taken int) {
+func (f *Fleet) maintain(w *wave, hosts []*host, room int, late bool, now time.Duration) (selected int) {
 	for _, h := range hosts {
-		if taken >= room {
+		if selected >= room {
 			break
 		}
 		if h.command != nil || h.State != jayport.HostUp || f.held(h, now) {
@@ -123,16 +124,16 @@
 		}
 		if f.empty(h, now) {
 			f.begin(h, maintaining{wave: w.Name}, "wave", now)
-			taken++
+			selected++
 			continue
 		}
 		if f.mayVacate(h, late) && (late || h.vacating == forWave || f.mayClose(h.Pool)) {
 			h.vacating = forWave
 			h.urgent = late
-			taken++
+			selected++
 		}
 	}
-	return taken
+	return selected
 }
 
 // paceShare is the fraction of a wave's time in which it is planned to complete; the rest
@@ -216,8 +217,9 @@
 	lateSlack = 3 * time.Second
 )
 
-// late reports whether a wave must hurry to meet its deadline, given the number of hosts
-// that are left and the number that may be maintained at once.
+// late reports whether the time until a wave's deadline is shorter than lateFactor and
+// lateSlack require, given the number of hosts that are left and the number that may be
+// maintained at once.
 func (f *Fleet) late(w *wave, left int, now time.Duration) bool {
 	rounds := math.Ceil(float64(left) / float64(max(1, w.MaxAtOnce)))
 	need := time.Duration(lateFactor * rounds * float64(f.roundTime()))
--- a/jayfleet/world_test.go
+++ b/jayfleet/world_test.go
@@ -76,7 +76,7 @@
 	return w
 }
 
-// step advances the time by 100 ms: hosts return, the fleet takes in the inventory and the
+// step advances the time by 100 ms: hosts return, the fleet gets the inventory and the
 // demands, and its actions are carried out.
 func (w *world) step() {
 	w.now += 100 * time.Millisecond
