--- a/jayplan/instances.go
+++ b/jayplan/instances.go
@@ -79,8 +79,8 @@
 }
 
 // undrain returns an instance to service after its move to another pool. An instance that
-// the platform itself takes away stays leaving: it has no fence, or its undrain was
-// already carried out.
+// the platform itself withdraws stays leaving: it has no fence, or its undrain was already
+// carried out.
 func (r *round) undrain(i *jaypool.Instance, worker jayplatform.Instance) {
 	if i.Phase == jaypool.Serving && i.Fence > 0 && worker.State == jayplatform.Leaving {
 		r.order(i.ID, i.Fence, jayplatform.Undrain{})
@@ -121,12 +121,12 @@
 // pool to lend one, and returns lent instances that are no longer needed.
 func (r *round) lend() {
 	for n := range r.config.Pools {
-		needy := r.config.Pools[n].Name
-		if r.standing(needy).Slack() >= 0 || r.receivesInstance(needy) {
+		borrower := r.config.Pools[n].Name
+		if r.standing(borrower).Slack() >= 0 || r.receivesInstance(borrower) {
 			continue
 		}
-		if donor, rule := r.donor(needy); donor != nil {
-			r.move(donor, needy, true, "rule "+rule)
+		if lent, rule := r.instanceToLend(borrower); lent != nil {
+			r.move(lent, borrower, true, "rule "+rule)
 		}
 	}
 	r.returnLoans()
@@ -144,15 +144,15 @@
 	return false
 }
 
-// donor returns an instance of the pool with the most slack among those that may lend, and
-// the name of the rule.
-func (r *round) donor(needy string) (*jaypool.Instance, string) {
+// instanceToLend returns an instance of the pool with the most slack among those that may
+// lend, and the name of the rule.
+func (r *round) instanceToLend(borrower string) (*jaypool.Instance, string) {
 	var best *jaypool.Instance
 	var bestRule string
 	bestSlack := 0
 	for _, id := range r.in.State.Fleet.IDs() {
 		i, _ := r.in.State.Fleet.Instance(id)
-		if !i.Available() || i.Pool == needy || r.busy[id] {
+		if !i.Available() || i.Pool == borrower || r.busy[id] {
 			continue
 		}
 		after := r.in.State.Fleet.Pool(i.Pool).StandingWithout(i, r.config.Budget(i.Pool))
--- a/jayplan/plan.go
+++ b/jayplan/plan.go
@@ -1,6 +1,6 @@
 // Package jayplan computes the planner's decisions: the commands that it proposes and the
 // orders that it gives to the platform. It has no I/O and no clock. The only state kept
-// between rounds is in Planner, which records when it first observed something.
+// between rounds is in Planner, which records when each item was first observed.
 package jayplan
 
 import (
@@ -59,7 +59,7 @@
 	healthySince map[string]time.Time
 }
 
-// observation records when the planner first saw something at its current version.
+// observation records when the planner first observed an item at its current version.
 type observation struct {
 	version uint64
 	at      time.Time
@@ -99,7 +99,7 @@
 	return r.out
 }
 
-// firstSeen returns when the planner first saw the named item at the given version.
+// firstSeen returns when the planner first observed the named item at the given version.
 func (p *Planner) firstSeen(name string, version uint64, now time.Time) time.Time {
 	s, ok := p.observations[name]
 	if !ok || s.version != version {
--- a/jayplan/session_platform_test.go
+++ b/jayplan/session_platform_test.go
@@ -22,7 +22,7 @@
 		Now:     sessionStart.Add(s.now),
 		Acked:   s.state.Offset,
 	})
-	if !s.logDown {
+	if !s.storeUnavailable {
 		for _, c := range out.Commands {
 			s.command("planner", c.Base, c)
 		}
--- a/jayplan/session_test.go
+++ b/jayplan/session_test.go
@@ -59,8 +59,8 @@
 	out     bytes.Buffer
 	audited int
 
-	logDown  bool
-	mayBreak bool
+	storeUnavailable bool
+	mayBreak         bool
 	// tasksUnlisted hides the workers' task reports from the planner.
 	tasksUnlisted  bool
 	failingWorkers map[string]bool
@@ -172,7 +172,7 @@
 			ProcessorsMilli: s.profile.Processors * 1000, MemoryMegabytes: s.profile.MemoryGigabytes * 1024,
 		}
 	case "log":
-		s.logDown = args[0] == "down"
+		s.storeUnavailable = args[0] == "down"
 	case "planner":
 		s.planner = jayplan.NewPlanner(settings)
 	case "failsStarts":
--- a/jayplan/tasks.go
+++ b/jayplan/tasks.go
@@ -15,7 +15,8 @@
 // quarantined as the cause of the failures.
 const quarantineJobs = 3
 
-// tasks ends the tasks that have ended, starts the placed ones and places the others.
+// tasks proposes the end of tasks that their workers report as failed or that are lost,
+// orders the start of placed ones and places the others.
 func (r *round) tasks() {
 	for _, key := range r.in.State.TaskKeys() {
 		r.trackTask(key, r.in.State.Tasks[key])
