--- a/jaywave/play.go
+++ b/jaywave/play.go
@@ -129,11 +129,11 @@
 }
 
 func (g *simulation) taskTarget(from string) string {
-	pool, _ := g.view.Fleet.Instance(from)
+	source, _ := g.view.Fleet.Instance(from)
 	target := ""
 	for _, id := range g.view.Fleet.IDs() {
 		i, _ := g.view.Fleet.Instance(id)
-		if i.Pool != pool.Pool || !i.Available() || g.view.Busy[id] {
+		if i.Pool != source.Pool || !i.Available() || g.view.Busy[id] {
 			continue
 		}
 		if i.MaintainedIn == g.view.Wave {
