--- a/jaypool/fleet.go
+++ b/jaypool/fleet.go
@@ -60,7 +60,7 @@
 	f.addToCounts(&i)
 }
 
-// Attach adds an instance to a pool. It must not belong to a pool already.
+// Attach adds an instance to a pool. The instance must not belong to a pool already.
 func (f *Fleet) Attach(fresh Instance, base uint64) error {
 	old, known := f.instances[fresh.ID]
 	if known {
