--- a/jayrule/action.go
+++ b/jayrule/action.go
@@ -87,9 +87,9 @@
 	return [...]string{"low", "normal", "urgent"}[min(p, Urgent)]
 }
 
-// Then is the encoded form of an action. Exactly one action must be set; idempotent,
-// timeoutMillis, priority and callerRate belong to route, dataCenters and displace to a
-// job's placement.
+// Then is the encoded form of an action. One action of the rule's kind must be set, except
+// that a job's placement may be empty; idempotent, timeoutMillis, priority and callerRate
+// belong to route, dataCenters and displace to a job's placement.
 type Then struct {
 	Route         string   `json:"route"`
 	Idempotent    *bool    `json:"idempotent"`
--- a/jayrule/rule.go
+++ b/jayrule/rule.go
@@ -41,7 +41,7 @@
 	Team     []string          `json:"team"`
 	// PoolState is holds, tight (no slack) or broken.
 	PoolState []string `json:"poolState"`
-	// Hours is an interval HH:MM-HH:MM in the configuration's time zone; it may include
+	// Hours is an interval HH:MM-HH:MM in the configuration's time zone; it may span
 	// midnight.
 	Hours string `json:"hours"`
 }
