--- a/jayjob/placement.go
+++ b/jayjob/placement.go
@@ -87,7 +87,7 @@
 // on its instance as long as the instance is available.
 func Place(v View) []Decision {
 	r := newRound(v)
-	r.stopUnservedTasks()
+	r.evictTasks()
 	for _, t := range r.waiting() {
 		r.place(t)
 	}
@@ -156,9 +156,9 @@
 	r.usedByTeam[j.Team] = r.usedByTeam[j.Team].Sub(j.Need)
 }
 
-// stopUnservedTasks stops the tasks on instances that are no longer available, and
-// withdrawn tasks.
-func (r *round) stopUnservedTasks() {
+// evictTasks stops the tasks on instances that are no longer available, and withdrawn
+// tasks.
+func (r *round) evictTasks() {
 	for n, t := range r.view.Tasks {
 		if t.Instance == "" {
 			continue
@@ -276,20 +276,20 @@
 // enough such tasks.
 func (r *round) displaceFor(j Job, avoid []string) bool {
 	var best *jaypool.Instance
-	var victims []int
+	var displaced []int
 	for _, i := range r.byPool[j.Pool] {
 		if !allowed(j, i) || slices.Contains(avoid, i.ID) {
 			continue
 		}
-		candidate, fits := r.victimsOn(i, j)
-		if fits && (best == nil || len(candidate) < len(victims)) {
-			best, victims = i, candidate
+		candidate, fits := r.displaceableOn(i, j)
+		if fits && (best == nil || len(candidate) < len(displaced)) {
+			best, displaced = i, candidate
 		}
 	}
 	if best == nil {
 		return false
 	}
-	for _, n := range victims {
+	for _, n := range displaced {
 		r.stop(n, "displaced by "+j.Name)
 	}
 	r.free[best.ID] = r.free[best.ID].Sub(j.Need)
@@ -300,7 +300,7 @@
 	return r.view.Jobs[r.view.Tasks[n].Job].Priority
 }
 
-func (r *round) victimsOn(i *jaypool.Instance, j Job) ([]int, bool) {
+func (r *round) displaceableOn(i *jaypool.Instance, j Job) ([]int, bool) {
 	var lower []int
 	for _, n := range r.tasksOn[i.ID] {
 		if !r.stopped[n] && r.priorityOf(n) < j.Priority {
@@ -311,15 +311,15 @@
 		return cmp.Compare(r.priorityOf(a), r.priorityOf(b))
 	})
 	room := r.free[i.ID]
-	var victims []int
+	var displaced []int
 	for _, n := range lower {
 		if room.Fits(j.Need) {
 			break
 		}
 		room = room.Add(r.view.Jobs[r.view.Tasks[n].Job].Need)
-		victims = append(victims, n)
+		displaced = append(displaced, n)
 	}
-	return victims, room.Fits(j.Need)
+	return displaced, room.Fits(j.Need)
 }
 
 // permanentMisfit returns the reason why no instance can ever hold a task of the job, or
