--- a/jayentry/claims.go
+++ b/jayentry/claims.go
@@ -18,7 +18,7 @@
 )
 
 // claimAppendsPerSecond limits the rate at which all entries together append
-// claims. The log service takes several hundred appends a second in total. The
+// claims. The log service accepts several hundred appends a second in total. The
 // members share this rate evenly, and one append can carry many claims.
 const claimAppendsPerSecond = 240
 
--- a/jayentry/claims_test.go
+++ b/jayentry/claims_test.go
@@ -16,20 +16,20 @@
 )
 
 // payConcurrently sends the same payment to several entries at the same time.
-func payConcurrently(key string, nodes ...*node) []answer {
-	answers := make([]answer, len(nodes))
+func payConcurrently(key string, nodes ...*node) []response {
+	responses := make([]response, len(nodes))
 	var sent sync.WaitGroup
 	for n, at := range nodes {
-		sent.Go(func() { answers[n] = at.pay(key) })
+		sent.Go(func() { responses[n] = at.pay(key) })
 	}
 	sent.Wait()
-	return answers
+	return responses
 }
 
-// countStatus returns the number of answers with the given status.
-func countStatus(answers []answer, status int) int {
+// countStatus returns the number of responses with the given status.
+func countStatus(responses []response, status int) int {
 	n := 0
-	for _, a := range answers {
+	for _, a := range responses {
 		if a.status == status {
 			n++
 		}
--- a/jayentry/cluster_test.go
+++ b/jayentry/cluster_test.go
@@ -210,8 +210,8 @@
 	return 0
 }
 
-// answer is the response that a caller received.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	status  int
 	verdict jayverdict.Verdict
 	body    string
@@ -219,15 +219,15 @@
 }
 
 // pay sends a payment with an idempotency key to the entry.
-func (n *node) pay(key string) answer {
+func (n *node) pay(key string) response {
 	return n.send(http.MethodPost, "/fees/pay", key, "amount=1")
 }
 
-func (n *node) read() answer {
+func (n *node) read() response {
 	return n.send(http.MethodGet, "/fees/list", "", "")
 }
 
-func (n *node) send(method, path, key, body string, headers ...string) answer {
+func (n *node) send(method, path, key, body string, headers ...string) response {
 	req := &fasthttp.Request{}
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://jaythread" + path)
@@ -242,7 +242,7 @@
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Init(req, &net.TCPAddr{}, nil)
 	n.entry.server.Handle(ctx)
-	return answer{
+	return response{
 		status:  ctx.Response.StatusCode(),
 		verdict: jayverdict.Parse(string(ctx.Response.Header.Peek(jayverdict.Header))),
 		body:    string(ctx.Response.Body()),
@@ -419,6 +419,6 @@
 
 var noFaults = jaystandin.LogFaults{}
 
-func hasText(a answer, text string) bool {
+func hasText(a response, text string) bool {
 	return strings.Contains(a.body, text)
 }
--- a/jayentry/peers.go
+++ b/jayentry/peers.go
@@ -133,7 +133,7 @@
 	return ended
 }
 
-// SetStopping makes the following heartbeats announce that this entry is leaving.
+// SetStopping makes the following heartbeats state that this entry is leaving.
 func (m *Membership) SetStopping() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -171,8 +171,8 @@
 	return list
 }
 
-// Heartbeat exchanges state with the next heartbeatsPerTick members in round-robin
-// order.
+// Heartbeat sends a heartbeat to the next heartbeatsPerTick members in round-robin
+// order, except to those whose own heartbeat arrived recently.
 func (m *Membership) Heartbeat(logAge time.Duration, onLeaving func(string)) {
 	m.recordApplied()
 	others := m.Others()
@@ -334,8 +334,9 @@
 // A member that has ended does not count. If a member was silent for twice the
 // lease while this entry heard a majority, the offset that this entry itself had
 // applied that long ago is used for it. If the silent member still hears a
-// majority, that majority shares a member with the one heard here, which has
-// passed that offset on. If it does not, its view lease has expired since.
+// majority, at least one member belongs both to that majority and to the one heard
+// here, and has passed that offset on. If the silent member hears no majority, its
+// view lease has expired since.
 func (m *Membership) Acked() uint64 {
 	acked, _ := m.position()
 	majority := m.Majority()
--- a/jayentry/planner.go
+++ b/jayentry/planner.go
@@ -208,8 +208,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case a := <-d.queue:
-			d.execute(a)
+		case order := <-d.queue:
+			d.execute(order)
 		}
 	}
 }
--- a/jayentry/requests_test.go
+++ b/jayentry/requests_test.go
@@ -56,7 +56,7 @@
 				var seen attemptCounter
 				w.setUpstream(func(addr string, _ *http.Request, _ string, conn net.Conn) bool {
 					if seen.add(addr) == 1 {
-						return false // the connection is closed without an answer
+						return false // the connection is closed without a response
 					}
 					respond(conn, 200, "second")
 					return true
@@ -68,7 +68,7 @@
 	})
 	t.Run("a payment that may have run is not retried", func(t *testing.T) {
 		// Guards against a double payment: an upstream runs the payment and fails
-		// before it answers, and the entry retries at another upstream as if the
+		// before it responds, and the entry retries at another upstream as if the
 		// request had been lost.
 		withCluster(t, 1, func(w *cluster) {
 			is := is.New(w.t)
@@ -137,8 +137,8 @@
 }
 
 func TestLateAnswerIsDiscarded(t *testing.T) {
-	// Guards against a caller that receives another caller's answer: a request
-	// times out, its upstream answers later, and the connection or buffers of the
+	// Guards against a caller that receives another caller's response: a request
+	// times out, its upstream responds later, and the connection or buffers of the
 	// abandoned request serve the next one.
 	withCluster(t, 1, func(w *cluster) {
 		is := is.New(w.t)
@@ -149,7 +149,7 @@
 			respond(conn, 200, "for "+r.URL.Path)
 			return true
 		})
-		slow := make(chan answer, 1)
+		slow := make(chan response, 1)
 		go func() { slow <- w.nodes[0].send(http.MethodGet, "/fees/slow", "", "") }()
 		for n := range 80 {
 			path := fmt.Sprint("/fees/", n)
@@ -228,7 +228,7 @@
 			return true
 		})
 		w.log.SetFaults(jaystandin.LogFaults{Delay: 250 * time.Millisecond})
-		got := make(chan answer, 1)
+		got := make(chan response, 1)
 		go func() { got <- w.nodes[0].pay("k") }()
 		time.Sleep(100 * time.Millisecond) // the slot on fees-0 is acquired
 		w.nodes[0].entry.NoteLeaving("fees-0")
--- a/jayentry/state_test.go
+++ b/jayentry/state_test.go
@@ -42,9 +42,9 @@
 }
 
 func TestLostAnswerOfAppend(t *testing.T) {
-	// Guards against an operator who is told that a change failed, repeats it and
-	// is refused because of the first one: the append took effect, only its answer
-	// was lost.
+	// Guards against an operator who receives an error for a change, repeats it and
+	// is refused because of the first change: the append took effect, only its
+	// response was lost.
 	withCluster(t, 3, func(w *cluster) {
 		is := is.New(w.t)
 		w.log.SetFaults(jaystandin.LogFaults{LoseAnswers: 3})
--- a/jayentry/stop.go
+++ b/jayentry/stop.go
@@ -9,8 +9,8 @@
 )
 
 // Stop shuts the entry down gracefully: it reports itself as not ready, answers
-// the requests in flight, flushes its claims and leaves the members. It takes at
-// most the stopBound setting.
+// the requests in flight, flushes its claims and gives up its membership. It takes
+// at most the stopBound setting.
 func (e *Entry) Stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.options.StopBound))
 	defer cancel()
@@ -29,7 +29,7 @@
 }
 
 // flushAndLeave waits until the claims of this entry are appended, and then
-// proposes to leave the members.
+// proposes to end its membership.
 func (e *Entry) flushAndLeave(ctx context.Context) {
 	for e.claimLog.committer.Pending() > 0 && e.claimsFresh() && ctx.Err() == nil {
 		jayclock.Sleep(ctx, 10*time.Millisecond)
