--- a/jayclaim/replicate.go
+++ b/jayclaim/replicate.go
@@ -112,25 +112,25 @@
 	return holder, nil
 }
 
-// grantReply is a peer's reply to a claim.
-type grantReply struct {
+// grantResult is a peer's decision on a claim, or the error of the request.
+type grantResult struct {
 	member  jaystate.Member
 	outcome jaywire.ClaimOutcome
 	holder  *jaywire.Claim
 	err     error
 }
 
-func (c *Claimer) askOne(m jaystate.Member, claim *jaywire.Claim) grantReply {
+func (c *Claimer) askOne(m jaystate.Member, claim *jaywire.Claim) grantResult {
 	response, err := c.peers.Ask(m, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_Claim{Claim: claim}})
 	if err != nil {
-		return grantReply{member: m, err: err}
+		return grantResult{member: m, err: err}
 	}
 	answer := response.GetClaimAnswer()
-	return grantReply{member: m, outcome: answer.GetOutcome(), holder: answer.GetHolder()}
+	return grantResult{member: m, outcome: answer.GetOutcome(), holder: answer.GetHolder()}
 }
 
-func (c *Claimer) askMany(members []jaystate.Member, claim *jaywire.Claim) []grantReply {
-	grants := make([]grantReply, len(members))
+func (c *Claimer) askMany(members []jaystate.Member, claim *jaywire.Claim) []grantResult {
+	grants := make([]grantResult, len(members))
 	var asked sync.WaitGroup
 	for n, m := range members {
 		asked.Go(func() { grants[n] = c.askOne(m, claim) })
@@ -141,7 +141,7 @@
 
 var errCopies = errors.New("too few peers hold the claim")
 
-// askCopies makes peers hold a claim that is the first in the log, so that they
+// askCopies asks peers to hold a claim that is the first in the log, so that they
 // know it if the log goes down before they have read it.
 func (c *Claimer) askCopies(claim *jaywire.Claim) (*jaywire.Claim, error) {
 	claim = withAhead(claim)
@@ -176,8 +176,8 @@
 // same payment one is granted the key and the others stop there.
 func (c *Claimer) askAll(claim *jaywire.Claim) (*jaywire.Claim, error) {
 	others := c.peers.Others()
-	if leader, ok := c.leader(others, claim); ok {
-		if g := c.askOne(leader, claim); g.outcome == jaywire.ClaimOutcome_CLAIM_OUTCOME_HELD {
+	if first, ok := c.firstRanked(others, claim); ok {
+		if g := c.askOne(first, claim); g.outcome == jaywire.ClaimOutcome_CLAIM_OUTCOME_HELD {
 			return g.holder, nil
 		}
 	}
@@ -203,9 +203,9 @@
 	return nil, nil
 }
 
-// leader returns the member that ranks first for the claim's key, and whether that
+// firstRanked returns the member that ranks first for the claim's key, and whether that
 // is another entry.
-func (c *Claimer) leader(others []jaystate.Member, claim *jaywire.Claim) (jaystate.Member, bool) {
+func (c *Claimer) firstRanked(others []jaystate.Member, claim *jaywire.Claim) (jaystate.Member, bool) {
 	all := rank(append(others, jaystate.Member{Entry: c.self}), claim.Key)
 	return all[0], all[0].Entry != c.self
 }
