--- a/jayroute/budget.go
+++ b/jayroute/budget.go
@@ -52,7 +52,7 @@
 }
 
 // MayRetry reports whether a failed attempt may be repeated: the request has not
-// run, or running it again does no harm.
+// run or is idempotent, and fewer than the maximum number of attempts were made.
 func MayRetry(v jayverdict.Verdict, idempotent bool, attempts int) bool {
 	if v == jayverdict.NotRun {
 		return attempts < maxUnrunAttempts
--- a/jayroute/pool.go
+++ b/jayroute/pool.go
@@ -205,7 +205,7 @@
 	return true
 }
 
-// Valid reports whether the upstream still takes requests of this pool. Between
+// Valid reports whether the upstream still accepts requests of this pool. Between
 // acquiring the slot and sending the first byte, a claim may have waited or the
 // process may have been paused, and the upstream may have drained or moved to
 // another pool.
@@ -215,8 +215,8 @@
 	return !l.Upstream.removed && !l.Upstream.leaving
 }
 
-// Release ends the attempt. The failed parameter tells whether the upstream caused
-// its failure.
+// Release ends the attempt. The failed parameter states whether the attempt failed
+// because of the upstream.
 func (l *Lease) Release(failed bool) {
 	p := l.pool
 	p.mu.Lock()
@@ -230,13 +230,13 @@
 }
 
 func (p *Pool) mayEject(now time.Time) bool {
-	out := 1
+	ejected := 1
 	for _, u := range p.list {
 		if now.Before(u.ejectedUntil) {
-			out++
+			ejected++
 		}
 	}
-	return float64(out) <= ejectedShare*float64(len(p.list))
+	return float64(ejected) <= ejectedShare*float64(len(p.list))
 }
 
 // dispatch assigns free slots to waiters in the order of the queue.
--- a/jayroute/upstream.go
+++ b/jayroute/upstream.go
@@ -17,7 +17,7 @@
 	// ejectedShare is the largest share of a pool that may be ejected. If more
 	// upstreams fail, the cause is this entry or the network, not the upstreams.
 	ejectedShare = 0.5
-	// slowStartTime is how long a new upstream takes fewer requests.
+	// slowStartTime is how long a new upstream receives fewer requests.
 	slowStartTime = 2 * time.Second
 	// latencyWeight is the weight of the newest latency in the moving average.
 	latencyWeight = 0.2
@@ -70,8 +70,8 @@
 }
 
 func (u *Upstream) eject(now time.Time) {
-	out := min(firstEjection<<min(u.ejections, 10), maxEjection)
-	u.ejectedUntil = now.Add(out)
+	duration := min(firstEjection<<min(u.ejections, 10), maxEjection)
+	u.ejectedUntil = now.Add(duration)
 	u.ejections++
 	u.failures = 0
 }
