--- a/jayserve/exchange.go
+++ b/jayserve/exchange.go
@@ -68,8 +68,9 @@
 	x.ctx.SetBody(a.Body)
 }
 
-// attempts sends the request until it is answered or must not be sent again. It
-// returns the answer, unless the answer was streamed or is not to be stored.
+// attempts sends the request until an upstream responds or it must not be sent
+// again. It returns the answer to store for resends; it returns none if the
+// response was streamed or the request has no key.
 func (x *exchange) attempts(k *keyed) (*jayclaim.Answer, error) {
 	x.server.budget.First()
 	for attempt := 1; ; attempt++ {
@@ -139,7 +140,7 @@
 		x.releaseFailed(lease, err)
 		return nil, err
 	}
-	return x.answer(lease, result, k != nil)
+	return x.respond(lease, result, k != nil)
 }
 
 // claim claims the key before the first byte is sent. It reports whether the
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// requests holds requests for reuse after they were answered. A request whose call
+// requests holds requests for reuse after their response has arrived. A request whose call
 // failed is not returned to the pool: the HTTP library may still read it, and
 // would then send another caller's bytes in its place.
 var requests = sync.Pool{New: func() any { return &fasthttp.Request{} }}
@@ -231,11 +232,11 @@
 	return true
 }
 
-// answer passes the upstream's answer to the caller, and returns it if it is to be
-// stored for resends.
-func (x *exchange) answer(lease *jayroute.Lease, result *jayupstream.Result, keep bool) (*jayclaim.Answer, error) {
+// respond passes the upstream's response to the caller, and returns it as an answer
+// if it is to be stored for resends.
+func (x *exchange) respond(lease *jayroute.Lease, result *jayupstream.Result, keep bool) (*jayclaim.Answer, error) {
 	resp := &x.ctx.Response
-	copyAnswerHeader(&resp.Header, &result.Response.Header)
+	copyResponseHeader(&resp.Header, &result.Response.Header)
 	resp.SetStatusCode(result.Response.StatusCode())
 	resp.Header.Set(jayverdict.Header, jayverdict.Ran.String())
 	failed := result.Response.StatusCode() >= 500
@@ -260,9 +261,9 @@
 	}, nil
 }
 
-// stream passes on a large answer and holds the slot until its end. If the answer
-// is cut off, the caller's connection is closed without a proper end of the body,
-// so that the caller does not take the part for a complete answer.
+// stream passes on a large response and holds the slot until its end. If the
+// response is cut off, the caller's connection is closed without a proper end of
+// the body, so that the caller does not take the part for a complete response.
 func (x *exchange) stream(lease *jayroute.Lease, result *jayupstream.Result, failed bool) {
 	size := result.Response.Header.ContentLength()
 	if size < 0 {
@@ -272,7 +273,7 @@
 	x.ctx.Response.SetBodyStream(body, size)
 }
 
-// streamed reads the buffered start of an answer and then the rest of it.
+// streamed reads the buffered start of a response and then the rest of it.
 type streamed struct {
 	result *jayupstream.Result
 	lease  *jayroute.Lease
@@ -280,7 +281,7 @@
 	closed bool
 }
 
-// Read returns the next bytes of the answer.
+// Read returns the next bytes of the response.
 func (s *streamed) Read(p []byte) (int, error) {
 	if len(s.result.Body) > 0 {
 		n := copy(p, s.result.Body)
--- a/jayserve/header.go
+++ b/jayserve/header.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func copyAnswerHeader(to, from *fasthttp.ResponseHeader) {
+func copyResponseHeader(to, from *fasthttp.ResponseHeader) {
 	for name, value := range from.All() {
 		if isHopByHop(string(name)) || string(name) == fasthttp.HeaderContentLength {
 			continue
--- a/jayserve/limiter.go
+++ b/jayserve/limiter.go
@@ -7,9 +7,9 @@
 	"golang.org/x/time/rate"
 )
 
-// maxLimited limits the number of rate limiters that are kept. All are dropped
+// maxLimiters limits the number of rate limiters that are kept. All are dropped
 // when it is reached, and each caller starts with a full allowance again.
-const maxLimited = 10_000
+const maxLimiters = 10_000
 
 // callerLimiter limits the request rate of each caller under each rule.
 type callerLimiter struct {
@@ -37,7 +37,7 @@
 	key := limiterKey{caller: caller, rule: rule}
 	limiter, known := l.limiters[key]
 	if !known {
-		if len(l.limiters) >= maxLimited {
+		if len(l.limiters) >= maxLimiters {
 			clear(l.limiters)
 		}
 		limiter = rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
--- a/jayserve/server.go
+++ b/jayserve/server.go
@@ -1,5 +1,5 @@
 // Package jayserve handles a caller's request from the routing rules to the
-// answer.
+// response.
 package jayserve
 
 import (
@@ -47,7 +47,7 @@
 type Source interface {
 	// View returns the current view, or a refusal if no view may be used.
 	View() (*View, *jayverdict.Error)
-	// NoteLeaving reports that an upstream takes no more work.
+	// NoteLeaving reports that an upstream accepts no more requests.
 	NoteLeaving(upstream string)
 }
 
@@ -139,7 +139,7 @@
 		return nil, refusal
 	}
 	caller := s.callerOf(ctx)
-	subject := describe(ctx, view, caller, began)
+	subject := subjectOf(ctx, view, caller, began)
 	action, rule := view.Config.Decide(subject)
 	switch a := action.(type) {
 	case jayrule.Route:
@@ -168,7 +168,7 @@
 	return string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 }
 
-func describe(ctx *fasthttp.RequestCtx, view *View, caller string, now time.Time) *jayrule.Subject {
+func subjectOf(ctx *fasthttp.RequestCtx, view *View, caller string, now time.Time) *jayrule.Subject {
 	path := string(ctx.Path())
 	return &jayrule.Subject{
 		Kind:        jayrule.AboutRequest,
--- a/jayserve/server_test.go
+++ b/jayserve/server_test.go
@@ -45,7 +45,7 @@
 func (o *observer) Retried(string)                                          { o.retries++ }
 
 // serveOnce sends one request to a server whose view can be used the given number
-// of times. It returns the answer and the number of connections made to upstreams.
+// of times. It returns the response and the number of connections made to upstreams.
 func serveOnce(t *testing.T, usable int) (*fasthttp.Response, int) {
 	t.Helper()
 	config, err := jayconfig.Parse("test", []byte(document))
