--- a/jayupstream/client.go
+++ b/jayupstream/client.go
@@ -18,14 +18,14 @@
 // These are the errors of attempts.
 var (
 	errDial = errors.New("cannot connect")
-	// ErrCut means that an answer ended before it was complete.
-	ErrCut = errors.New("answer was cut")
+	// ErrCut means that a response ended before it was complete.
+	ErrCut = errors.New("response was cut off")
 	// ErrLeaving means that the upstream refused a request and closed the
-	// connection, and thus takes no more work.
+	// connection, and thus accepts no more requests.
 	ErrLeaving = errors.New("upstream is leaving")
 )
 
-// Result is a complete answer, or the start of an answer that is streamed.
+// Result is a complete response, or the start of a response that is streamed.
 type Result struct {
 	Response *fasthttp.Response
 	// Body is the complete body, unless Rest is set.
@@ -40,8 +40,8 @@
 // pool, because something may still read into it.
 var responses = sync.Pool{New: func() any { return &fasthttp.Response{} }}
 
-// Release returns the response of a complete answer to the pool. Response must not
-// be used afterwards; Body stays valid.
+// Release returns a complete response to the pool. Response must not be used
+// afterwards; Body stays valid.
 func (r *Result) Release() {
 	if r.Rest != nil {
 		return
@@ -68,7 +68,7 @@
 }
 
 // NewClient returns a Client. It keeps unused connections open for the duration
-// idle, and buffers up to bufferBytes of an answer before it streams the rest.
+// idle, and buffers up to bufferBytes of a response before it streams the rest.
 func NewClient(idle, dialTimeout time.Duration, bufferBytes int, options ...Option) *Client {
 	c := &Client{idle: idle, dialTimeout: dialTimeout, bufferBytes: bufferBytes, hosts: map[string]*host{}}
 	c.connect = func(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, c.dialTimeout) }
@@ -200,9 +200,9 @@
 
 // readStart reads the body up to the buffer limit and reports whether it is
 // complete. It is complete only if the stream returns io.EOF, which it does not do
-// for an answer that was cut off.
+// for a response that was cut off.
 func (c *Client) readStart(stream io.Reader, length int) (body []byte, whole bool, err error) {
-	size := smallBody
+	size := initialBuffer
 	if length >= 0 {
 		size = length + 1
 	}
@@ -224,8 +224,9 @@
 	return body, false, nil
 }
 
-// smallBody is the initial buffer size in bytes for an answer of unknown length.
-const smallBody = 512
+// initialBuffer is the initial buffer size in bytes for a response of unknown
+// length.
+const initialBuffer = 512
 
 type rest struct {
 	resp   *fasthttp.Response
--- a/jayupstream/client_test.go
+++ b/jayupstream/client_test.go
@@ -183,10 +183,10 @@
 }
 
 func TestUnsolicitedAnswerIsDiscarded(t *testing.T) {
-	// Guards against a caller that receives another caller's answer: an upstream
-	// sends a second, unsolicited answer, and the next request on the connection
-	// takes it for its own, because HTTP/1.1 matches answers to requests by order
-	// alone.
+	// Guards against a caller that receives another caller's response: an upstream
+	// sends a second, unsolicited response, which is taken for the response to the
+	// next request on the connection, because HTTP/1.1 matches responses to requests
+	// by order alone.
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
 	var kept net.Conn
@@ -205,8 +205,8 @@
 }
 
 func TestLateAnswerIsDiscarded(t *testing.T) {
-	// Guards against a caller that receives the answer to a request that timed
-	// out: the answer arrives later on the same connection, and the connection is
+	// Guards against a caller that receives the response to a request that timed
+	// out: the response arrives later on the same connection, and the connection is
 	// reused for another request.
 	is := is.New(t)
 	u, c := newUpstream(t), newClient()
--- a/jayupstream/conn.go
+++ b/jayupstream/conn.go
@@ -19,8 +19,8 @@
 //
 // An upstream may close a kept-alive connection at the moment when the next
 // request is sent, and the caller would get a failure without knowing whether the
-// request ran. An upstream that sends two answers to one request would have the
-// second one taken for the answer to the next request. In both cases the socket is
+// request ran. If an upstream sends two responses to one request, the second one
+// would be taken for the response to the next request. In both cases the socket is
 // readable before a request is sent, so the first write of each request checks for
 // that and fails without sending a byte.
 type countedConn struct {
@@ -54,7 +54,7 @@
 	return n, err
 }
 
-// Read receives bytes of an answer. The next write begins another request.
+// Read receives bytes of a response. The next write begins another request.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
