--- a/jayedge/edge.go
+++ b/jayedge/edge.go
@@ -35,7 +35,7 @@
 	// Idle limits the time between two requests on a connection and the time to
 	// read one request.
 	Idle time.Duration
-	// Write limits the time that an answer waits for a slow caller.
+	// Write limits the time that a response waits for a slow caller.
 	Write time.Duration
 }
 
@@ -92,6 +92,7 @@
 	return e
 }
 
+// quietLogger discards the log messages of the HTTP server.
 type quietLogger struct{}
 
 func (quietLogger) Printf(string, ...any) {}
@@ -126,7 +127,7 @@
 // caller that ignores the entry's readiness must not delay the stop any longer.
 const drainLimit = 2
 
-// Drain asks callers to close their connections after each answer, and returns
+// Drain asks callers to close their connections after each response, and returns
 // once no request has arrived for the grace time. New connections are served until
 // then, because the load balancer needs some time to notice that the entry is
 // leaving, and more when it is busy.
--- a/jayedge/edge_test.go
+++ b/jayedge/edge_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// answer reads the next answer.
-func (c *caller) answer() (int, string, http.Header) {
+// readResponse reads the next response.
+func (c *caller) readResponse() (int, string, http.Header) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -107,7 +107,7 @@
 	}
 	c.write(all.String())
 	for n := range 50 {
-		_, body, _ := c.answer()
+		_, body, _ := c.readResponse()
 		is.Equal(body, fmt.Sprintf("/%d 0", n))
 	}
 }
@@ -117,13 +117,13 @@
 	t.Run("a large body is read completely", func(t *testing.T) {
 		c := connect(t, addr)
 		c.write("POST /big HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n" + strings.Repeat("x", 1000000))
-		_, body, _ := c.answer()
+		_, body, _ := c.readResponse()
 		is.New(t).Equal(body, "/big 1000000")
 	})
 	t.Run("a chunked body is decoded", func(t *testing.T) {
 		c := connect(t, addr)
 		c.write("POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
-		_, body, _ := c.answer()
+		_, body, _ := c.readResponse()
 		is.New(t).Equal(body, "/c 5")
 	})
 	t.Run("a body is read after 100 Continue", func(t *testing.T) {
@@ -136,7 +136,7 @@
 		_, err = c.in.ReadString('\n')
 		is.NoErr(err)
 		c.write("ab")
-		_, body, _ := c.answer()
+		_, body, _ := c.readResponse()
 		is.Equal(body, "/e 2")
 	})
 	t.Run("a request that arrives byte by byte is read completely", func(t *testing.T) {
@@ -144,7 +144,7 @@
 		for _, b := range []byte("POST /s HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc") {
 			c.write(string(b))
 		}
-		_, body, _ := c.answer()
+		_, body, _ := c.readResponse()
 		is.New(t).Equal(body, "/s 3")
 	})
 }
@@ -172,7 +172,7 @@
 			is := is.New(t)
 			from := connect(t, addr)
 			from.write(c.text)
-			status, _, header := from.answer()
+			status, _, header := from.readResponse()
 			is.Equal(status, c.status)
 			is.Equal(header.Get(jayverdict.Header), "notRun")
 			is.True(from.ended())
@@ -205,13 +205,13 @@
 	_, addr := newEdge(t, func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString(body) }, nil)
 	c := connect(t, addr)
 	c.write(fmt.Sprintf(get, "large"))
-	_, got, _ := c.answer()
+	_, got, _ := c.readResponse()
 	is.True(got == body)
 }
 
 func TestTruncatedStreamIsVisible(t *testing.T) {
-	// Guards against a caller that takes a part of an answer for a complete one:
-	// an upstream is cut off in the middle of an answer, and the answer to the
+	// Guards against a caller that takes a part of a response for a complete one:
+	// an upstream is cut off in the middle of a response, and the response to the
 	// caller ends properly all the same.
 	_, addr := newEdge(t, func(ctx *fasthttp.RequestCtx) {
 		size := -1
@@ -254,10 +254,10 @@
 	}, nil)
 	idle := connect(t, addr)
 	idle.write(fmt.Sprintf(get, "quick"))
-	idle.answer()
+	idle.readResponse()
 	half := connect(t, addr)
 	half.write(fmt.Sprintf(get, "quick"))
-	half.answer()
+	half.readResponse()
 	half.write("GET /half HTTP/1.1\r\n")
 	busy := connect(t, addr)
 	busy.write(fmt.Sprintf(get, "slow"))
@@ -271,11 +271,11 @@
 	}()
 	is.True(idle.ended()) // an idle connection is closed
 	half.write("Host: x\r\n\r\n")
-	_, body, header := half.answer()
+	_, body, header := half.readResponse()
 	is.Equal(body, "whole")
 	is.Equal(header.Get("Connection"), "close")
 	close(release)
-	_, body, _ = busy.answer()
+	_, body, _ = busy.readResponse()
 	is.Equal(body, "whole")
 	is.NoErr(<-stopped)
 }
@@ -295,7 +295,7 @@
 		for time.Since(began) < requestsFor {
 			c := connect(t, addr)
 			c.write(fmt.Sprintf(get, "quick"))
-			c.answer()
+			c.readResponse()
 			time.Sleep(grace / 20)
 		}
 		return <-drain
@@ -338,9 +338,9 @@
 	_, addr := newEdge(t, echo, func(o *Options) { o.MaxConns = 1 })
 	first := connect(t, addr)
 	first.write(fmt.Sprintf(get, "a"))
-	first.answer()
+	first.readResponse()
 	is.True(connect(t, addr).ended())
 	first.write(fmt.Sprintf(get, "b"))
-	_, body, _ := first.answer()
+	_, body, _ := first.readResponse()
 	is.Equal(body, "/b 0")
 }
--- a/jayedge/handle.go
+++ b/jayedge/handle.go
@@ -82,7 +82,8 @@
 	transferEncoding = []byte(fasthttp.HeaderTransferEncoding)
 )
 
-// Refuse writes an answer of the entry itself, with its verdict.
+// Refuse writes the entry's own response to a request that it refuses or that has
+// failed, with the verdict on the request.
 func Refuse(ctx *fasthttp.RequestCtx, e *jayverdict.Error) {
 	ctx.Response.Reset()
 	ctx.SetStatusCode(e.Status)
--- a/jayedge/pipe.go
+++ b/jayedge/pipe.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxOutbound limits the bytes of an answer that are buffered in the event
+	// maxOutbound limits the bytes of a response that are buffered in the event
 	// loop for a slow caller. Beyond it the writer waits.
 	maxOutbound = 256 << 10
 	// outboundPoll is the interval at which a waiting writer checks for free
@@ -182,7 +182,7 @@
 }
 
 // writeNow writes to the socket without waiting. It avoids the event loop, which
-// would wake another thread for each answer.
+// would wake another thread for each response.
 func (p *pipe) writeNow(b []byte) (int, error) {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
