--- a/jayport/formats.go
+++ b/jayport/formats.go
@@ -52,8 +52,8 @@
 	// A record without a value means that the worker with this key has left.
 	Reports() Partition
 	Reported(r Record) (Worker, error)
-	// WaveStatus returns the record that tells operators whether a wave is done, and
-	// the partition that it belongs to.
+	// WaveStatus returns the status record of a wave, which states to operators whether
+	// the wave is done, and the partition that it belongs to.
 	WaveStatus(wave string, done bool) (Partition, Record)
 	// Own returns a partition of a topic that belongs to this program.
 	Own(topic string, number int) Partition
--- a/jayport/inventory.go
+++ b/jayport/inventory.go
@@ -30,7 +30,7 @@
 	return hostStateNames[HostUnknown]
 }
 
-// Host is a machine in the inventory. It outlives the workers that run on it one after
+// Host is an instance in the inventory. It outlives the workers that run on it one after
 // another.
 type Host struct {
 	Name       string
