--- a/jaystate/capacity_test.go
+++ b/jaystate/capacity_test.go
@@ -54,7 +54,7 @@
 }
 
 // BenchmarkCapacitySnapshot measures, for several fleet sizes, the size of a
-// snapshot, the time to load it, and the heap that the state takes.
+// snapshot, the time to load it, and the heap that the state occupies.
 func BenchmarkCapacitySnapshot(b *testing.B) {
 	for _, workers := range []int{50, 500, 5600} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/jaystate/fold_test.go
+++ b/jaystate/fold_test.go
@@ -134,8 +134,8 @@
 
 func TestRepeatedCommandIsAppliedOnce(t *testing.T) {
 	// An append takes effect, its response is lost, and the proposer appends
-	// the command again. The log service cannot tell the repeat from a new
-	// record, so without deduplication a wave would start twice or an accepted
+	// the command again. The log service cannot distinguish the repeat from
+	// a new record, so without deduplication a wave would start twice or an accepted
 	// change would be reported as rejected.
 	is := is.New(t)
 	s := New()
@@ -191,8 +191,8 @@
 
 func TestPlannerCannotResumeOperatorPause(t *testing.T) {
 	// The planner pauses waves on failures and resumes them afterwards. If its
-	// pauses could not be told from an operator's, it would also resume a wave
-	// that an operator paused on purpose.
+	// pauses could not be distinguished from an operator's, it would also resume a
+	// wave that an operator paused on purpose.
 	is := is.New(t)
 	s := newState(t)
 	paused, running := jaywire.WavePhase_WAVE_PHASE_PAUSED, jaywire.WavePhase_WAVE_PHASE_RUNNING
--- a/jaystate/fold_wave.go
+++ b/jaystate/fold_wave.go
@@ -224,11 +224,11 @@
 // String returns the name of the wave's phase, with a mark for a pause by the
 // planner.
 func (w *Wave) String() string {
-	word := wavePhaseName(w.Phase)
+	name := wavePhaseName(w.Phase)
 	if w.Automatic && w.Phase == jaywire.WavePhase_WAVE_PHASE_PAUSED {
-		return word + " (automatic)"
+		return name + " (automatic)"
 	}
-	return word
+	return name
 }
 
 func stepPhaseName(p jaywire.StepPhase) string {
