--- a/jayjournal/delivery.go
+++ b/jayjournal/delivery.go
@@ -35,7 +35,7 @@
 // delivery repeats one append until its outcome is known.
 //
 // When a response is missing, it was lost or the store is slow, and the two cannot be
-// told apart at first. Waiting long before a retry delays the callers when responses
+// distinguished at first. Waiting long before a retry delays the callers when responses
 // are lost; giving up early makes a slow store execute the same append again and again.
 // Appends are therefore hedged: the append is sent again while earlier attempts stay in
 // flight, and the response to any attempt counts.
--- a/jayjournal/journal_test.go
+++ b/jayjournal/journal_test.go
@@ -18,12 +18,12 @@
 	"jaythread/jayport"
 )
 
-// scriptedStore responds to the first appends as its script says; later ones
+// scriptedStore responds to the first appends as its script specifies; later ones
 // succeed. Like the platform's store it applies each sequence number once.
 type scriptedStore struct {
 	jayport.Store
 	mu     sync.Mutex
-	script []answer
+	script []scriptedResponse
 	taken  map[int64][]jayport.Record
 	order  []string
 	calls  int
@@ -32,24 +32,24 @@
 	numbered bool
 }
 
-// answer is one response of the script. If done is true, the append takes effect
+// scriptedResponse is one response of the script. If done is true, the append takes effect
 // even if the response is an error.
-type answer struct {
+type scriptedResponse struct {
 	err  error
 	done bool
 }
 
 var (
-	lostAfterAppend  = answer{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer), done: true}
-	lostBeforeAppend = answer{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer)}
-	rejected         = answer{err: fmt.Errorf("%w: test", jayport.ErrNotDone)}
+	lostAfterAppend  = scriptedResponse{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer), done: true}
+	lostBeforeAppend = scriptedResponse{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer)}
+	rejected         = scriptedResponse{err: fmt.Errorf("%w: test", jayport.ErrNotDone)}
 )
 
-func newStore(script ...answer) *scriptedStore {
+func newStore(script ...scriptedResponse) *scriptedStore {
 	return &scriptedStore{script: script, taken: map[int64][]jayport.Record{}}
 }
 
-// Append applies an append unless the script says otherwise. When the response is
+// Append applies an append unless the script specifies otherwise. When the response is
 // lost, only the caller of this append waits for its timeout.
 func (s *scriptedStore) Append(a jayport.Append, timeout time.Duration) (jayport.Appended, error) {
 	err := s.apply(a)
@@ -63,7 +63,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	next := answer{done: true}
+	next := scriptedResponse{done: true}
 	if len(s.script) > 0 {
 		next, s.script = s.script[0], s.script[1:]
 	}
@@ -111,7 +111,7 @@
 func TestAppendOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
-		script  []answer
+		script  []scriptedResponse
 		options []Option
 		want    error
 		keys    []string
@@ -119,15 +119,15 @@
 		{"append succeeds", nil, nil, nil, []string{"a"}},
 		// A missing response must not be treated as a failed append: the job
 		// would be accepted twice, or never.
-		{"response lost, append applied", []answer{lostAfterAppend}, nil, nil, []string{"a"}},
-		{"response lost, append not applied", []answer{lostBeforeAppend, lostAfterAppend, lostBeforeAppend}, nil, nil, []string{"a"}},
-		{"rejected, retried", []answer{rejected, rejected}, nil, nil, []string{"a"}},
-		{"rejected, reported as failed", []answer{rejected}, []Option{WithRefusals()}, jayport.ErrNotDone, nil},
+		{"response lost, append applied", []scriptedResponse{lostAfterAppend}, nil, nil, []string{"a"}},
+		{"response lost, append not applied", []scriptedResponse{lostBeforeAppend, lostAfterAppend, lostBeforeAppend}, nil, nil, []string{"a"}},
+		{"rejected, retried", []scriptedResponse{rejected, rejected}, nil, nil, []string{"a"}},
+		{"rejected, reported as failed", []scriptedResponse{rejected}, []Option{WithRefusals()}, jayport.ErrNotDone, nil},
 		// The response to an append is lost and the retry is rejected. The
-		// rejection says nothing about the first attempt: a job that was
+		// rejection proves nothing about the first attempt: a job that was
 		// reported as refused could run.
-		{"response lost, retry rejected", []answer{lostAfterAppend, rejected}, []Option{WithRefusals()}, nil, []string{"a"}},
-		{"response lost, retries rejected beyond the timeout of the first attempt", append([]answer{lostAfterAppend}, slices.Repeat([]answer{rejected}, 12)...), []Option{WithRefusals()}, nil, []string{"a"}},
+		{"response lost, retry rejected", []scriptedResponse{lostAfterAppend, rejected}, []Option{WithRefusals()}, nil, []string{"a"}},
+		{"response lost, retries rejected beyond the timeout of the first attempt", append([]scriptedResponse{lostAfterAppend}, slices.Repeat([]scriptedResponse{rejected}, 12)...), []Option{WithRefusals()}, nil, []string{"a"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -230,7 +230,7 @@
 func TestLostResponsesDelayAppendsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newStore(lostAfterAppend, answer{done: true}, lostAfterAppend, lostAfterAppend, answer{done: true}, lostBeforeAppend)
+		s := newStore(lostAfterAppend, scriptedResponse{done: true}, lostAfterAppend, lostAfterAppend, scriptedResponse{done: true}, lostBeforeAppend)
 		j := start(t, s)
 		began := time.Now()
 		for n := range 4 {
