--- a/jayrelay/regain.go
+++ b/jayrelay/regain.go
@@ -6,7 +6,7 @@
 	"jaythread/jayport"
 )
 
-// probePartition is the partition that probes read to learn whether the store is
+// probePartition is the partition that probes read to find out whether the store is
 // available again. The records are discarded.
 var probePartition = jayport.Partition{Topic: "entries"}
 
--- a/jayrelay/relay_test.go
+++ b/jayrelay/relay_test.go
@@ -84,8 +84,8 @@
 }
 
 var (
-	errSilent = fmt.Errorf("%w: test", jayport.ErrNoAnswer)
-	errAway   = fmt.Errorf("%w: test", jayport.ErrNotDone)
+	errSilent   = fmt.Errorf("%w: test", jayport.ErrNoAnswer)
+	errRejected = fmt.Errorf("%w: test", jayport.ErrNotDone)
 )
 
 func newStore(direct *fakeStore, peers fakePeers) *Store {
@@ -111,7 +111,7 @@
 		// Without a relay, a pool's owner on that entry would keep a stale view
 		// of the pool.
 		is := is.New(t)
-		direct, bad, good := &fakeStore{err: errAway}, &fakeStore{err: errSilent}, &fakeStore{}
+		direct, bad, good := &fakeStore{err: errRejected}, &fakeStore{err: errSilent}, &fakeStore{}
 		s := newStore(direct, fakePeers{"p1": bad, "p2": good})
 		page, err := s.Read(jayport.Partition{}, 0, 0, time.Second)
 		is.NoErr(err)
@@ -163,7 +163,7 @@
 	t.Run("append without sequence number is not retried through a second peer", func(t *testing.T) {
 		is := is.New(t)
 		silent, other := &fakeStore{err: errSilent}, &fakeStore{}
-		s := newStore(&fakeStore{err: errAway}, fakePeers{"p1": silent, "p2": other})
+		s := newStore(&fakeStore{err: errRejected}, fakePeers{"p1": silent, "p2": other})
 		_, err := s.Append(jayport.Append{AsOf: 3}, time.Second)
 		is.True(errors.Is(err, jayport.ErrNoAnswer))
 		is.Equal(silent.counted(), 1)
@@ -171,17 +171,17 @@
 	})
 	t.Run("missing response on one path outweighs rejection on the other", func(t *testing.T) {
 		is := is.New(t)
-		s := newStore(&fakeStore{err: errSilent}, fakePeers{"p1": {err: errAway}})
+		s := newStore(&fakeStore{err: errSilent}, fakePeers{"p1": {err: errRejected}})
 		_, err := s.Append(numbered(), time.Second)
 		is.True(errors.Is(err, jayport.ErrNoAnswer))
-		peer := &fakeStore{err: errAway}
+		peer := &fakeStore{err: errRejected}
 		s = newStore(&fakeStore{err: errSilent}, fakePeers{"p1": peer})
 		for range failureThreshold {
 			_, err = s.Append(numbered(), time.Second)
 			is.True(errors.Is(err, jayport.ErrNoAnswer))
 		}
 		is.Equal(peer.counted(), 1)
-		s = newStore(&fakeStore{err: errAway}, fakePeers{"p1": {err: errAway}})
+		s = newStore(&fakeStore{err: errRejected}, fakePeers{"p1": {err: errRejected}})
 		_, err = s.Append(numbered(), time.Second)
 		is.True(errors.Is(err, jayport.ErrNotDone))
 	})
@@ -199,33 +199,33 @@
 	is.New(t).NoErr(ErrorOf(&jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_GOOD}))
 }
 
-// unresponsiveStore never responds to calls that are sent while it is away. They end
-// by a timeout, even if the store is available again before.
+// unresponsiveStore never responds to calls that are sent while it is unavailable. They
+// end by a timeout, even if the store is available again before.
 type unresponsiveStore struct {
 	jayport.Store
-	away atomic.Bool
+	unavailable atomic.Bool
 }
 
-func (h *unresponsiveStore) answer() error {
-	if h.away.Load() {
+func (h *unresponsiveStore) respond() error {
+	if h.unavailable.Load() {
 		time.Sleep(10 * time.Second)
 		return errSilent
 	}
 	return nil
 }
 
-// Append responds unless the store is away.
+// Append responds unless the store is unavailable.
 func (h *unresponsiveStore) Append(_ jayport.Append, timeout time.Duration) (jayport.Appended, error) {
-	if h.away.Load() {
+	if h.unavailable.Load() {
 		time.Sleep(timeout)
 		return jayport.Appended{}, errSilent
 	}
 	return jayport.Appended{First: 1}, nil
 }
 
-// Read responds unless the store is away.
+// Read responds unless the store is unavailable.
 func (h *unresponsiveStore) Read(jayport.Partition, int64, time.Duration, time.Duration) (jayport.Page, error) {
-	return jayport.Page{}, h.answer()
+	return jayport.Page{}, h.respond()
 }
 
 func TestCallsSentBeforeEndOfOutageAreAbandoned(t *testing.T) {
@@ -237,7 +237,7 @@
 		began := time.Now()
 		direct := &unresponsiveStore{}
 		s := New(direct, fakePeers{}, func() time.Duration { return time.Since(began) }, logr.Discard())
-		direct.away.Store(true)
+		direct.unavailable.Store(true)
 		hung := make(chan time.Duration, 1)
 		go func() {
 			_, err := s.Read(jayport.Partition{}, 0, 0, 10*time.Second)
@@ -250,7 +250,7 @@
 		}
 		is.True(!s.Direct())
 		time.Sleep(2 * time.Second)
-		direct.away.Store(false)
+		direct.unavailable.Store(false)
 		back := time.Since(began)
 		time.Sleep(2 * probeInterval)
 		is.True(s.Direct())
@@ -284,14 +284,14 @@
 		began := time.Now()
 		direct := &unresponsiveStore{}
 		s := New(direct, unresponsivePeers{}, func() time.Duration { return time.Since(began) }, logr.Discard())
-		direct.away.Store(true)
+		direct.unavailable.Store(true)
 		for range failureThreshold {
 			_, _ = s.Append(jayport.Append{AsOf: jayport.AnyOffset}, 100*time.Millisecond)
 		}
 		time.Sleep(time.Second)
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			direct.away.Store(false)
+			direct.unavailable.Store(false)
 		}()
 		asked := time.Now()
 		_, err := s.Read(jayport.Partition{}, 0, 0, time.Second)
