--- a/jaypeer/client.go
+++ b/jaypeer/client.go
@@ -29,7 +29,7 @@
 // Errors of requests to peers.
 var (
 	// ErrUnreachable means that the peer did not respond. It may be alive.
-	ErrUnreachable = errors.New("peer does not answer")
+	ErrUnreachable = errors.New("peer does not respond")
 	// ErrGone means that the requested incarnation has ended: its address
 	// refuses connections, or another incarnation responds there.
 	ErrGone = errors.New("peer has ended")
--- a/jaypeer/server.go
+++ b/jaypeer/server.go
@@ -114,13 +114,15 @@
 		if err := options.UnmarshalFrom(in, request); err != nil {
 			return
 		}
-		if !s.answer(stream, request) {
+		if !s.respond(stream, request) {
 			return
 		}
 	}
 }
 
-func (s *Server) answer(stream *yamux.Stream, request *jaywire.PeerRequest) bool {
+// respond handles a request and writes the response. It reports whether the response
+// was written.
+func (s *Server) respond(stream *yamux.Stream, request *jaywire.PeerRequest) bool {
 	response := &jaywire.PeerResponse{}
 	// A request to an earlier incarnation at this address gets an empty response:
 	// this incarnation does not have the state of that one.
