--- a/jayreplay/crash_test.go
+++ b/jayreplay/crash_test.go
@@ -14,7 +14,7 @@
 // at most two more after it has crashed three workers.
 const maxStarts = 5
 
-// withCrashingJobs adds jobs to the load peak of the first queue. One task of each job
+// withCrashingJobs adds jobs to the burst of the first queue. One task of each job
 // crashes every worker that starts it.
 func withCrashingJobs(jobs int, after time.Duration) func(*Turns, *Load) {
 	return func(t *Turns, l *Load) {
@@ -62,7 +62,7 @@
 		t.Run(fmt.Sprint(jobs, " crashing jobs in a load peak"), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourPeaks(1, withCrashingJobs(jobs, 8*time.Millisecond)))
+			r := Play(fourBursts(1, withCrashingJobs(jobs, 8*time.Millisecond)))
 			logResult(t, r)
 			is.Equal(len(r.Crashing().Jobs), jobs)
 			for _, j := range r.Crashing().Jobs {
@@ -82,13 +82,13 @@
 }
 
 // Guards against giving up jobs whose workers are lost for reasons unrelated to the jobs:
-// workers fail one after the other during a load peak of their pool.
+// workers fail one after the other during a burst of their pool's load.
 func TestJobsAreNotGivenUpForUnrelatedWorkerLosses(t *testing.T) {
 	for _, pause := range []time.Duration{700 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(fmt.Sprint("one outage every ", pause), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourPeaks(1, func(_ *Turns, l *Load) {
+			r := Play(fourBursts(1, func(_ *Turns, l *Load) {
 				for at := time.Duration(0); at < 12*time.Second; at += pause {
 					l.Outages = append(l.Outages, Outage{At: warmUp + at, For: 500 * time.Millisecond, First: len(l.Outages) * 2, Each: 5})
 				}
--- a/jayreplay/generate.go
+++ b/jayreplay/generate.go
@@ -29,21 +29,21 @@
 	// EstimateOff is the error of the declared estimates, as the standard deviation of
 	// the logarithm of estimate over actual run time.
 	EstimateOff float64
-	// Checkpoint says that the tasks write checkpoints.
+	// Checkpoint is true if the tasks write checkpoints.
 	Checkpoint bool
 	Policy     jayspec.Policy
 }
 
-// Turns describes a load of several queues whose peaks follow one another.
+// Turns describes a load of several queues whose bursts follow one another.
 type Turns struct {
 	Shapes []Shape
-	// Width is the full width of a peak at half of its height.
+	// Width is the duration for which the rate of a burst is above half of its maximum.
 	Width time.Duration
-	// Between is the constant part of the arrival rate outside the peak, as a share of
-	// the mean rate.
+	// Between is the constant part of the arrival rate, to which a burst is added, as a
+	// share of the mean rate.
 	Between float64
-	// Phase gives the position of a queue's peak in the sequence of peaks. A queue that
-	// is missing has its peak at its position in Shapes.
+	// Phase gives the position of a queue's burst in the sequence of bursts. A queue
+	// that is missing has its burst at its position in Shapes.
 	Phase map[string]int
 	// Begin is when jobs begin to arrive.
 	Begin time.Duration
@@ -90,13 +90,13 @@
 	return arrivals
 }
 
-// queueArrivals returns the jobs of one queue, whose load peak has the given position in the
-// sequence of peaks. Arrivals are a Poisson process with a varying rate.
+// queueArrivals returns the jobs of one queue, whose burst has the given position in the
+// sequence of bursts. Arrivals are a Poisson process with a varying rate.
 func (t Turns) queueArrivals(shape Shape, turn int, size jaypool.Resources) []Arrival {
 	random := rand.New(rand.NewPCG(t.Seed, uint64(turn)))
 	each := t.For / time.Duration(len(t.Shapes))
 	center := time.Duration(turn)*each + each/2
-	most := shape.Rate * (t.Between + t.peakFactor())
+	most := shape.Rate * (t.Between + t.burstFactor())
 	var arrivals []Arrival
 	for at := time.Duration(0); ; {
 		at += seconds(random.ExpFloat64() / most)
@@ -104,7 +104,7 @@
 			break
 		}
 		widths := (at - center).Seconds() / t.Width.Seconds()
-		rate := shape.Rate * (t.Between + t.peakFactor()*math.Exp(-4*math.Ln2*widths*widths))
+		rate := shape.Rate * (t.Between + t.burstFactor()*math.Exp(-4*math.Ln2*widths*widths))
 		if random.Float64()*most < rate {
 			id := fmt.Sprintf("%s%04d", shape.Queue, len(arrivals))
 			arrivals = append(arrivals, shape.job(id, t.Begin+at, size, random))
@@ -113,9 +113,9 @@
 	return arrivals
 }
 
-// peakFactor returns the rate at the top of a peak, as a multiple of the mean rate and
+// burstFactor returns the maximum rate of a burst, as a multiple of the mean rate and
 // without the constant part.
-func (t Turns) peakFactor() float64 {
+func (t Turns) burstFactor() float64 {
 	return (1 - t.Between) * t.For.Seconds() / t.Width.Seconds() * math.Sqrt(4*math.Ln2/math.Pi)
 }
 
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -97,7 +97,8 @@
 	return list
 }
 
-// requestDemand tells a pool which workers to vacate and passes its demand to the fleet.
+// requestDemand sends a pool the orders to vacate workers and passes its demand to the
+// fleet.
 func (s *simulation) requestDemand(o *poolOwner) {
 	asked := s.clock.now
 	var orders []jaysched.Vacate
@@ -169,16 +170,16 @@
 
 // takeDown terminates the worker of a host and starts its next incarnation after the given
 // time.
-func (s *simulation) takeDown(h *host, away time.Duration) {
+func (s *simulation) takeDown(h *host, downTime time.Duration) {
 	h.worker.terminate()
 	h.worker, h.state = nil, jayport.HostDown
-	s.clock.after(away, func() {
+	s.clock.after(downTime, func() {
 		h.state = jayport.HostUp
 		s.boot(h)
 	})
 }
 
-// errHostBusy is the inventory's answer to the move of a host that is not up.
+// errHostBusy is the inventory's error for the move of a host that is not up.
 var errHostBusy = &jayport.HostError{Reason: jayport.HostBusy}
 
 // moveHost moves a host to another pool. Its worker ends at once.
--- a/jayreplay/link.go
+++ b/jayreplay/link.go
@@ -7,8 +7,8 @@
 	linkLatency = 2500 * time.Microsecond
 	// orderBytes is the size of an order to start or stop a run.
 	orderBytes = 600
-	// answerBytes is the size of the answer to an order.
-	answerBytes = 250
+	// responseBytes is the size of the response to an order.
+	responseBytes = 250
 	// reportRequestBytes is the size of a request for a report.
 	reportRequestBytes = 300
 	// reportBytes is the size of a report without runs.
--- a/jayreplay/loads_test.go
+++ b/jayreplay/loads_test.go
@@ -16,9 +16,9 @@
 // policy is the policy of all queues in these loads.
 var policy = jayspec.Policy{Attempts: 4, Stretch: 1.6, Objective: 600 * time.Millisecond}
 
-// fourPeaks returns a load of four queues on 49 instances, two with short jobs and two
-// with large ones. Their load peaks follow one another.
-func fourPeaks(seed uint64, changes ...func(*Turns, *Load)) Load {
+// fourBursts returns a load of four queues on 49 instances, two with short jobs and two
+// with large ones. Their bursts follow one another.
+func fourBursts(seed uint64, changes ...func(*Turns, *Load)) Load {
 	quick := Shape{
 		Steps: 1.6, Width: 6, Takes: 800 * time.Millisecond, EstimateOff: 0.9,
 		Need: jaypool.Resources{ProcessorsMilli: 3_500, MemoryMegabytes: 13_000},
--- a/jayreplay/owner.go
+++ b/jayreplay/owner.go
@@ -21,9 +21,9 @@
 	latency  *jaysched.Latency
 	outbound link
 	inbound  link
-	// decisionPending says that a decision is scheduled for the current time.
+	// decisionPending is true while a decision is scheduled for the current time.
 	decisionPending bool
-	// flushing says that an append to the store is in progress.
+	// flushing is true while an append to the store is in progress.
 	flushing bool
 }
 
@@ -112,7 +112,7 @@
 }
 
 // worker returns the worker with the given ID. For an unknown ID it returns a terminated
-// worker, which answers no request.
+// worker, which responds to no request.
 func (o *poolOwner) worker(id string) *worker {
 	if w, known := o.workers[id]; known {
 		return w
@@ -124,26 +124,26 @@
 	c := &o.sim.clock
 	sent := c.now
 	o.latency.Sent()
-	answered := o.answerOnce(o.latency.OrderTimeout(), func(err error) {
+	respond := o.handleOnce(o.latency.OrderTimeout(), func(err error) {
 		o.latency.Answered(c.now-sent, errors.Is(err, jayport.ErrNoAnswer))
 		o.pool.StartAnswered(a.To, a.Order.Run, c.now, err, c.now)
 	})
 	w := o.worker(a.To.ID)
 	o.outbound.send(orderBytes, func() {
 		err := w.start(a.Order)
-		o.inbound.send(answerBytes, func() { answered(err) })
+		o.inbound.send(responseBytes, func() { respond(err) })
 	})
 }
 
 func (o *poolOwner) stopRun(a jaysched.StopRun) {
 	c := &o.sim.clock
-	answered := o.answerOnce(o.latency.OrderTimeout(), func(err error) {
+	respond := o.handleOnce(o.latency.OrderTimeout(), func(err error) {
 		o.pool.StopAnswered(a.To, a.Run, c.now, err, c.now)
 	})
 	w := o.worker(a.To.ID)
 	o.outbound.send(orderBytes, func() {
 		err := w.stop(a.Run)
-		o.inbound.send(answerBytes, func() { answered(err) })
+		o.inbound.send(responseBytes, func() { respond(err) })
 	})
 }
 
@@ -151,7 +151,7 @@
 	c := &o.sim.clock
 	asked := c.now
 	var report jayport.Report
-	answered := o.answerOnce(o.latency.ReportTimeout()+a.Order.Wait, func(err error) {
+	respond := o.handleOnce(o.latency.ReportTimeout()+a.Order.Wait, func(err error) {
 		if err != nil {
 			o.pool.Silent(a.To, c.now)
 			return
@@ -163,26 +163,26 @@
 		w.renew(a.Order, func(r jayport.Report, err error) {
 			o.inbound.send(reportBytes+reportRunBytes*(len(r.Active)+len(r.Ended)), func() {
 				report = r
-				answered(err)
+				respond(err)
 			})
 		})
 	})
 }
 
-// answerOnce returns a function that passes an answer to take. If none arrives before the
-// timeout, take gets jayport.ErrNoAnswer, and a later answer is ignored.
-func (o *poolOwner) answerOnce(timeout time.Duration, take func(error)) func(error) {
-	taken := false
-	answered := func(err error) {
-		if taken {
+// handleOnce returns a function that passes a response to handle. If none arrives before
+// the timeout, handle gets jayport.ErrNoAnswer, and a later response is ignored.
+func (o *poolOwner) handleOnce(timeout time.Duration, handle func(error)) func(error) {
+	handled := false
+	respond := func(err error) {
+		if handled {
 			return
 		}
-		taken = true
-		take(err)
+		handled = true
+		handle(err)
 		o.scheduleDecision()
 	}
-	o.sim.clock.after(timeout, func() { answered(jayport.ErrNoAnswer) })
-	return answered
+	o.sim.clock.after(timeout, func() { respond(jayport.ErrNoAnswer) })
+	return respond
 }
 
 // flush appends the pool's changes to the store, with at most one append in progress.
--- a/jayreplay/result.go
+++ b/jayreplay/result.go
@@ -20,7 +20,7 @@
 	Done time.Duration
 	// Failed is when the job was first shown as failed, or zero.
 	Failed time.Duration
-	// Crashes says that some of the job's tasks crash their workers.
+	// Crashes is true if some of the job's tasks crash their workers.
 	Crashes bool
 	// Starts is the largest number of runs of one of the crashing tasks.
 	Starts int
--- a/jayreplay/simulation.go
+++ b/jayreplay/simulation.go
@@ -41,13 +41,13 @@
 	longRunning bool
 	// savedTime is the run time that is covered by a checkpoint.
 	savedTime time.Duration
-	// checkpoint says that the task writes checkpoints.
+	// checkpoint is true if the task writes checkpoints.
 	checkpoint bool
 	// startedAt is when the first run of the task began.
 	startedAt time.Duration
 	// starts counts the runs of the task.
 	starts int
-	// crashes says that each run of the task crashes its worker.
+	// crashes is true if each run of the task crashes its worker.
 	crashes bool
 	// crashAfter is the time from the start of a run to the crash of its worker.
 	crashAfter time.Duration
--- a/jayreplay/simulation_test.go
+++ b/jayreplay/simulation_test.go
@@ -12,19 +12,19 @@
 
 func TestResultIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	once, again := Play(fourPeaks(1)), Play(fourPeaks(1))
+	once, again := Play(fourBursts(1)), Play(fourBursts(1))
 	is.Equal(once, again)
 	is.True(len(once.Jobs) > 500)
 }
 
 func TestInstancesFollowLoadPeaks(t *testing.T) {
-	// Four queues have their load peaks one after the other. Each peak needs several times
-	// the instances of its pool, and a move takes a fifth of a peak.
+	// Four queues have their bursts one after the other. Each burst needs several times
+	// the instances of its pool, and a move takes a fifth of a burst.
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourPeaks(seed))
+			r := Play(fourBursts(seed))
 			is.True(r.InTime() >= 0.95)
 			is.Equal(r.Served(), 1.0)
 			// With all instances on all the time, it would be 2352.
@@ -35,7 +35,7 @@
 
 func TestLeasesAreRenewedOverSlowLink(t *testing.T) {
 	// Guards against leases that expire because the link of the pool's owner is saturated.
-	// During a load peak, starts and reports need more bandwidth than the link has. Answers
+	// During a burst, starts and reports need more bandwidth than the link has. Responses
 	// then arrive after their timeout, orders and requests are sent again, and renewals of
 	// leases wait behind starts. The workers count as silent though they are healthy, their
 	// runs end and are repeated, and the pool never catches up. It happened with a fixed
@@ -44,12 +44,12 @@
 		t.Run(fmt.Sprintf("%.0f bytes per second", rate), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourPeaks(1, withLinkRate(rate)))
+			r := Play(fourBursts(1, withLinkRate(rate)))
 			is.Equal(r.Lapsed, 0)
 			is.True(r.Served() >= served)
 		})
 	}
-	behind(250e3, 0.99) // the mean bandwidth that the load peaks need
+	behind(250e3, 0.99) // the mean bandwidth that the bursts need
 	behind(125e3, 0.8)
 	behind(80e3, 0)
 }
@@ -76,13 +76,13 @@
 }
 
 func TestOverload(t *testing.T) {
-	// The load peaks of the queues follow one another. While they last, they need a tenth
+	// The bursts of the queues follow one another. While they last, they need a tenth
 	// more than the capacity of all instances, including the time lost to moves.
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourPeaks(seed, withRateFactor(3)))
+			r := Play(fourBursts(seed, withRateFactor(3)))
 			is.True(r.InTime() > 0.5) // lower if jobs are ordered by their targets alone
 		})
 	}
@@ -95,7 +95,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourPeaks(seed, withRateFactor(4.5)))
+			r := Play(fourBursts(seed, withRateFactor(4.5)))
 			for _, queue := range []string{"a", "b", "c", "d"} {
 				is.True(r.Of(queue).Served() > 0.25)
 			}
@@ -109,7 +109,7 @@
 	// off. The short tasks fill each gap that is too small for the large task, which waited
 	// for half a minute: a task was started only where it fitted at that moment.
 	is := is.New(t)
-	load := fourPeaks(1, func(turns *Turns, l *Load) {
+	load := fourBursts(1, func(turns *Turns, l *Load) {
 		turns.Shapes, turns.Width = turns.Shapes[:1], 20*time.Second
 		turns.Shapes[0].Rate *= 3
 		l.Hosts, l.Off = map[string]int{"pool-a": 6}, 0
--- a/jayreplay/worker.go
+++ b/jayreplay/worker.go
@@ -28,11 +28,11 @@
 	endedCount int64
 	// leaseUntil is when all runs end unless the lease is renewed before.
 	leaseUntil time.Duration
-	// terminated says that this incarnation has ended.
+	// terminated is true once this incarnation has ended.
 	terminated bool
-	// pendingReply replies to the pending renewal of the lease, which waits for a run to end.
-	// It is nil if there is none.
-	pendingReply func()
+	// pendingResponse responds to the pending renewal of the lease, which waits for a run
+	// to end. It is nil if there is none.
+	pendingResponse func()
 }
 
 // activeRun is a run that has started on a worker and has not ended.
@@ -43,7 +43,7 @@
 	duration  time.Duration
 }
 
-// start starts a run and returns the answer to the pool's owner.
+// start starts a run and returns the response to the pool's owner.
 func (w *worker) start(order jayport.StartOrder) error {
 	if w.terminated {
 		return jayport.ErrNoAnswer
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// end ends a run and replies to the pending request.
+// end ends a run and responds to the pending request.
 func (w *worker) end(r *activeRun, how jayport.Ending) {
 	if w.terminated || w.active[r.order.Run] != r {
 		return
@@ -89,15 +89,15 @@
 		end.Checkpoint = w.sim.saveCheckpoint(r)
 	}
 	w.ended = append(w.ended, end)
-	w.sendReply()
+	w.sendResponse()
 }
 
-// sendReply replies to the pending request, if there is one.
-func (w *worker) sendReply() {
-	if w.pendingReply != nil {
-		reply := w.pendingReply
-		w.pendingReply = nil
-		reply()
+// sendResponse responds to the pending request, if there is one.
+func (w *worker) sendResponse() {
+	if w.pendingResponse != nil {
+		respond := w.pendingResponse
+		w.pendingResponse = nil
+		respond()
 	}
 }
 
@@ -129,36 +129,36 @@
 	return nil
 }
 
-// renew handles a request that renews the lease and asks for a report. It replies at once
+// renew handles a request that renews the lease and asks for a report. It responds at once
 // if the request does not wait or if there are ended runs to report, and otherwise when a
 // run ends or the wait time of the request is over.
-func (w *worker) renew(order jayport.LeaseOrder, reply func(jayport.Report, error)) {
+func (w *worker) renew(order jayport.LeaseOrder, respond func(jayport.Report, error)) {
 	if w.terminated {
-		reply(jayport.Report{}, jayport.ErrNoAnswer)
+		respond(jayport.Report{}, jayport.ErrNoAnswer)
 		return
 	}
 	w.extendLease(order.LeaseUntil)
 	w.ended = slices.DeleteFunc(w.ended, func(e jayport.EndedRun) bool { return e.Number <= order.Acknowledged })
-	tell := func() {
+	sendReport := func() {
 		if w.terminated {
-			reply(jayport.Report{}, jayport.ErrNoAnswer)
+			respond(jayport.Report{}, jayport.ErrNoAnswer)
 			return
 		}
-		reply(w.report(), nil)
+		respond(w.report(), nil)
 	}
 	if order.Wait == 0 || len(w.ended) > 0 {
-		tell()
+		sendReport()
 		return
 	}
-	answered := false
+	responded := false
 	once := func() {
-		if !answered {
-			answered = true
-			w.pendingReply = nil
-			tell()
+		if !responded {
+			responded = true
+			w.pendingResponse = nil
+			sendReport()
 		}
 	}
-	w.pendingReply = once
+	w.pendingResponse = once
 	w.sim.clock.after(order.Wait, once)
 }
 
@@ -191,5 +191,5 @@
 func (w *worker) terminate() {
 	w.terminated = true
 	clear(w.active)
-	w.sendReply()
+	w.sendResponse()
 }
