--- a/jaystandin/fleet.go
+++ b/jaystandin/fleet.go
@@ -24,11 +24,11 @@
 	// lag is how long a change of an instance takes to become visible in the list.
 	lag        time.Duration
 	rebootTime time.Duration
-	// countsBreaches says that budget breaches are counted.
+	// countsBreaches is true if budget breaches are counted.
 	countsBreaches bool
-	// firstDrain is when the first worker was told to drain.
+	// firstDrain is when the first order to drain a worker was carried out.
 	firstDrain time.Time
-	// lastReturn is when the last worker came back from a reboot.
+	// lastReturn is when the last worker returned from a reboot.
 	lastReturn time.Time
 }
 
--- a/jaystandin/ledger.go
+++ b/jaystandin/ledger.go
@@ -16,7 +16,7 @@
 	pools map[string]poolUse
 	// minAvailable is the number of workers that must stay available, by service.
 	minAvailable map[string]int
-	// budgetBroken says whether fewer workers than the minimum are available, by service.
+	// budgetBroken is true if fewer workers than the minimum are available, by service.
 	budgetBroken map[string]bool
 	leftAt       map[string]time.Time
 	counters     Counters
@@ -42,8 +42,8 @@
 	PoolOverlaps int `json:"poolOverlaps"`
 	// SlotOverruns counts requests beyond the slots of their worker.
 	SlotOverruns int `json:"slotOverruns"`
-	// LateWork counts requests that reached a worker more than two seconds after it was
-	// told to drain.
+	// LateWork counts requests that reached a worker more than two seconds after the order
+	// to drain it.
 	LateWork int `json:"lateWork"`
 	// TaskOverlaps counts starts of a task that ran on another worker at that time.
 	TaskOverlaps int `json:"taskOverlaps"`
--- a/jaystandin/logservice.go
+++ b/jaystandin/logservice.go
@@ -25,7 +25,7 @@
 	// Delay is the time added to every append and read.
 	Delay time.Duration `json:"delayNanos"`
 	// LoseAnswers is the number of next appends that take effect but return an error, as
-	// if their answers were lost.
+	// if their responses were lost.
 	LoseAnswers int `json:"loseAnswers"`
 }
 
--- a/jaystandin/server.go
+++ b/jaystandin/server.go
@@ -72,7 +72,7 @@
 }
 
 // handleEntry registers an entry instance on behalf of the operator of a trial. A real
-// platform knows its instances itself.
+// platform has its own inventory of instances.
 func (p *Platform) handleEntry(ctx *fasthttp.RequestCtx) {
 	var i jayplatform.Instance
 	err := json.Unmarshal(ctx.PostBody(), &i)
--- a/jaystandin/worker.go
+++ b/jaystandin/worker.go
@@ -63,7 +63,7 @@
 	// fences are the fences of the last orders, by the kind of order and its task.
 	fences map[string]uint64
 	tasks  map[string]jayplatform.TaskReport
-	// drainingSince is when the worker was told to drain, or zero.
+	// drainingSince is when the worker began to drain, or zero.
 	drainingSince time.Time
 	// stopped is closed when the worker stops.
 	stopped chan struct{}
@@ -226,8 +226,8 @@
 	})
 }
 
-// Answer returns the body of a worker's response to a request. From it, a caller can tell
-// whether it got the complete response to its own request.
+// Answer returns the body of a worker's response to a request. With it, a caller checks
+// whether it received the complete response to its own request.
 func Answer(id string, body []byte, size int) string {
 	head := fmt.Sprintf("id=%s body=%d ", id, len(body))
 	if size <= len(head) {
