--- a/jaysoak/callers_test.go
+++ b/jaysoak/callers_test.go
@@ -28,10 +28,10 @@
 	path string
 	// accepted is when the job was accepted, or zero.
 	accepted time.Time
-	// refused says that every attempt to submit the job was rejected as not run.
+	// refused is true if every attempt to submit the job was rejected as not run.
 	refused   bool
 	cancelled bool
-	// crashes says that a task of the job crashes its workers.
+	// crashes is true if a task of the job crashes its workers.
 	crashes bool
 	// tasks is the number of the job's tasks.
 	tasks int
@@ -143,7 +143,7 @@
 	}
 }
 
-// checkState queries a job's state and checks it against earlier answers and against the
+// checkState queries a job's state and checks it against earlier responses and against the
 // runs of its tasks. It reports whether the job has ended.
 func (c *callers) checkState(j *job, p *process) bool {
 	asked := time.Now()
--- a/jaysoak/proxy_test.go
+++ b/jaysoak/proxy_test.go
@@ -119,7 +119,7 @@
 
 // copyData forwards data in one direction until the connection is closed, subject to the
 // fault.
-func (p *proxy) copyData(from, to net.Conn, answers bool) {
+func (p *proxy) copyData(from, to net.Conn, isResponse bool) {
 	defer func() {
 		_ = from.Close()
 		_ = to.Close()
@@ -128,7 +128,7 @@
 	for {
 		n, err := from.Read(piece)
 		if n > 0 {
-			p.awaitFault(answers)
+			p.awaitFault(isResponse)
 			if _, err := to.Write(piece[:n]); err != nil {
 				return
 			}
@@ -140,12 +140,12 @@
 }
 
 // awaitFault waits while the fault holds back or delays data in this direction.
-func (p *proxy) awaitFault(answers bool) {
+func (p *proxy) awaitFault(isResponse bool) {
 	for {
 		switch linkFault(p.fault.Load()) {
 		case linkSilent:
 		case linkOneWay:
-			if !answers {
+			if !isResponse {
 				return
 			}
 		case linkSlow:
--- a/jaysoak/soak_test.go
+++ b/jaysoak/soak_test.go
@@ -56,9 +56,9 @@
 var regressions = []scenario{
 	// A graceful stop waited for long reads of the store.
 	{42, firstFaultKinds},
-	// Two processes of the installation were given the same port.
+	// Two processes of the installation were configured with the same port.
 	{166744, firstFaultKinds},
-	// An owner that was resumed after a pause answered with an outdated state of jobs that
+	// An owner that was resumed after a pause responded with an outdated state of jobs that
 	// its successor had ended.
 	{693828, firstFaultKinds},
 	// A task that crashes its workers was started once more than allowed: one of the worker
