--- a/jaydemo/balancer.go
+++ b/jaydemo/balancer.go
@@ -10,7 +10,7 @@
 )
 
 // balancer simulates the platform's load balancer. It distributes requests over the ready
-// entries in turn, so that a retry usually goes to another entry.
+// entries in turn, so that a retry is usually sent to another entry.
 type balancer struct {
 	mu      sync.Mutex
 	targets []*target
@@ -26,7 +26,7 @@
 	operator string
 	client   *fasthttp.HostClient
 	ready    atomic.Bool
-	// probing says that a readiness probe is in progress.
+	// probing is true while a readiness probe is in progress.
 	probing atomic.Bool
 }
 
--- a/jaydemo/callers.go
+++ b/jaydemo/callers.go
@@ -21,9 +21,9 @@
 const (
 	// callerTimeout is how long a caller waits for a response.
 	callerTimeout = 10 * time.Second
-	// largeAnswer is the size in bytes of a large response. It exceeds the entries'
+	// largeResponse is the size in bytes of a large response. It exceeds the entries'
 	// buffer, so that the response is streamed.
-	largeAnswer = 1500 << 10
+	largeResponse = 1500 << 10
 )
 
 // callers send requests through the balancer and check each response.
@@ -103,7 +103,7 @@
 		q.key = "key-" + q.id
 		q.body = []byte(strings.Repeat("p", random.IntN(2000)))
 	case kind < 27:
-		q.size = largeAnswer
+		q.size = largeResponse
 	}
 	answered := c.send(q)
 	if q.key != "" && (!answered || random.IntN(5) == 0) {
