--- a/jayapi/configuration.go
+++ b/jayapi/configuration.go
@@ -51,9 +51,9 @@
 	if err != nil {
 		return err
 	}
-	answer := InForce{Revision: revision, Entries: s.backend.Revisions(), Everywhere: true}
-	for _, in := range answer.Entries {
-		answer.Everywhere = answer.Everywhere && in >= revision
+	response := InForce{Revision: revision, Entries: s.backend.Revisions(), Everywhere: true}
+	for _, in := range response.Entries {
+		response.Everywhere = response.Everywhere && in >= revision
 	}
-	return writeJSON(ctx, answer)
+	return writeJSON(ctx, response)
 }
--- a/jayapi/explain.go
+++ b/jayapi/explain.go
@@ -26,11 +26,11 @@
 	if config == nil {
 		return badRequest{text: "no configuration is in force"}
 	}
-	answer, err := ExplainRequest(config, query, time.Now())
+	response, err := ExplainRequest(config, query, time.Now())
 	if err != nil {
 		return err
 	}
-	return writeJSON(ctx, answer)
+	return writeJSON(ctx, response)
 }
 
 func poolStates(state *jaystate.State) map[string]string {
@@ -66,11 +66,11 @@
 		PoolStateOf: func(pool string) string { return q.PoolStates[pool] },
 		Time:        at,
 	}
-	answer := &Explained{Traces: config.Rules.Explain(subject), Action: "refused: no rule matches"}
+	response := &Explained{Traces: config.Rules.Explain(subject), Action: "refused: no rule matches"}
 	action, rule := config.Decide(subject)
 	if action != nil {
-		answer.Rule = rule
-		answer.Action = fmt.Sprintf("%T %+v", action, action)
+		response.Rule = rule
+		response.Action = fmt.Sprintf("%T %+v", action, action)
 	}
-	return answer, nil
+	return response, nil
 }
--- a/jayapi/server.go
+++ b/jayapi/server.go
@@ -178,10 +178,10 @@
 	}
 }
 
-var errOutcomeUnknown = errors.New("the log service has not confirmed the change; look at the audit trail before you try again")
+var errOutcomeUnknown = errors.New("the log service has not confirmed the change; check the audit trail before repeating the change")
 
-// propose has the backend decide on a write of an operator. The request must name
-// the actor.
+// propose passes a write of an operator to the backend and returns the decision. The
+// request must name the actor.
 func (s *Server) propose(ctx *fasthttp.RequestCtx, reason string, c *jaywire.Command) (jaystate.Outcome, error) {
 	actor := string(ctx.Request.Header.Peek(HeaderActor))
 	if actor == "" {
