--- a/jaycli/explain.go
+++ b/jaycli/explain.go
@@ -47,20 +47,20 @@
 		}
 		query.Header[name] = value
 	}
-	answer, err := explainRequest(c, query)
+	explained, err := explainRequest(c, query)
 	if err != nil {
 		return err
 	}
-	return show(c, answer, func(p *printer) {
-		for _, t := range answer.Traces {
+	return show(c, explained, func(p *printer) {
+		for _, t := range explained.Traces {
 			if t.Matched {
-				p.row(t.Rule, "decides:", answer.Action)
+				p.row(t.Rule, "decides:", explained.Action)
 				continue
 			}
 			p.row(t.Rule, "does not match:", t.Why)
 		}
-		if answer.Rule == "" {
-			p.row(answer.Action)
+		if explained.Rule == "" {
+			p.row(explained.Action)
 		}
 	})
 }
--- a/jaycli/serve.go
+++ b/jaycli/serve.go
@@ -35,13 +35,13 @@
 	}
 	logger := jaylogger.New(os.Stderr, options.LogFormat, options.LogLevel)
 	platform := jayplatform.NewClient(options.PlatformURL, time.Duration(options.PlatformTimeout))
-	// The first call shows a wrong address to the operator immediately; with
-	// retries alone, the entry would only never become ready.
+	// The first call reports a wrong address to the operator at once. If the entry
+	// only retried, it would never become ready and the command would not fail.
 	if _, err := platform.Since(0, 0); err != nil {
 		if len(options.PeerSeeds) == 0 {
 			return err
 		}
-		logger.Info("platform does not answer; asking peers", "error", err.Error())
+		logger.Info("platform is unavailable; requesting the state from peers", "error", err.Error())
 	}
 	entry, err := jayentry.New(options, platform, logger)
 	if err != nil {
