--- a/jayoptions/jobs.go
+++ b/jayoptions/jobs.go
@@ -32,10 +32,12 @@
 	MaxLease Duration `json:"maxLease"`
 	// StopTime is the longest time that a worker takes to stop a run.
 	StopTime Duration `json:"stopTime"`
-	// GangTime is how long the members of a gang wait for each other.
+	// GangTime is how long the members of a gang wait for each other. It is validated
+	// but has no effect.
 	GangTime Duration `json:"gangTime"`
-	// FarFactor is the factor by which the duration of a task grows when it runs
-	// away from its data or rack.
+	// FarFactor is the factor by which the duration of a task grows when it runs on a
+	// worker outside the rack of its data or step. It is validated but has no effect:
+	// the scheduler does not use it.
 	FarFactor float64 `json:"farFactor"`
 	// MoveTime and MaintenanceTime are how long an instance is unavailable during a
 	// move and during maintenance.
@@ -45,13 +47,15 @@
 	// next holder may act.
 	HolderTime Duration `json:"holderTime"`
 	// FencesChecked states that the inventory rejects commands with a fence lower
-	// than the highest one that the instance has seen. Without it, each command
+	// than the highest one that the instance has received. Without it, each command
 	// waits until it is recorded, and no instance is moved while the store is
 	// unavailable.
 	FencesChecked bool `json:"fencesChecked"`
-	// NoticeTime is how long an unavailable task counts against its step.
+	// NoticeTime is how long an unavailable task counts against its step. It is
+	// validated but has no effect.
 	NoticeTime Duration `json:"noticeTime"`
-	// SilenceTime is the age at which workers' reports are considered outdated.
+	// SilenceTime is the age at which workers' reports are considered outdated. It is
+	// validated but has no effect.
 	SilenceTime Duration `json:"silenceTime"`
 	// RetainEnded is how long the state of an ended job remains available.
 	RetainEnded Duration `json:"retainEnded"`
