--- a/jayconfig/path.go
+++ b/jayconfig/path.go
@@ -41,7 +41,7 @@
 }
 
 // sourceFiles holds the files of a directory. It reports a problem of the merged
-// configuration in the file and at the position that the element comes from.
+// configuration in the file and at the position of the element there.
 type sourceFiles []sourceFile
 
 // Add reports a problem with the value at a pointer of the merged configuration.
