--- a/jayaccount/best.go
+++ b/jayaccount/best.go
@@ -46,13 +46,13 @@
 	most := 0.0
 	for _, s := range l.states {
 		on[s.Pool], milli[s.Pool] = s.On, s.RoomMilli
-		hosts, cores := 0, 0.0
+		instances, cores := 0, 0.0
 		for pool := range on {
-			hosts += on[pool]
+			instances += on[pool]
 			cores += float64(milli[pool]) / 1000
 		}
-		if hosts > 0 {
-			most = max(most, cores/float64(hosts)*float64(hosts+s.Off))
+		if instances > 0 {
+			most = max(most, cores/float64(instances)*float64(instances+s.Off))
 		}
 	}
 	return most
--- a/jayaccount/read.go
+++ b/jayaccount/read.go
@@ -47,7 +47,7 @@
 	states []poolState
 }
 
-// job holds what the log lines tell about one job.
+// job holds the values of the log lines about one job.
 type job struct {
 	queue     string
 	pool      string
@@ -151,7 +151,7 @@
 	return j
 }
 
-// submit sets the submission time if it is the earliest one seen. Several entries may
+// submit sets the submission time if it is the earliest one so far. Several entries may
 // have logged the job.
 func (j *job) submit(at time.Time) {
 	if j.submitted.IsZero() || at.Before(j.submitted) {
