--- a/jayreplay/generate.go
+++ b/jayreplay/generate.go
@@ -29,21 +29,21 @@
 	// EstimateSpread is the error of the declared estimates, as the standard deviation of
 	// the logarithm of estimate over actual run time.
 	EstimateSpread float64
-	// Checkpoint says that the tasks write checkpoints.
+	// Checkpoint is true if the tasks write checkpoints.
 	Checkpoint bool
 	Policy     jayspec.Policy
 }
 
-// SequentialBursts describes a load of several queues whose peaks follow one another.
+// SequentialBursts describes a load of several queues whose bursts follow one another.
 type SequentialBursts struct {
 	QueueLoads []QueueLoad
-	// Width is the full width of a peak at half of its height.
+	// Width is the duration for which the rate of a burst is above half of its maximum.
 	Width time.Duration
-	// BaseShare is the constant part of the arrival rate outside the peak, as a share of
-	// the mean rate.
+	// BaseShare is the constant part of the arrival rate, to which a burst is added, as a
+	// share of the mean rate.
 	BaseShare float64
-	// Phase gives the position of a queue's peak in the sequence of peaks. A queue that
-	// is missing has its peak at its position in QueueLoads.
+	// Phase gives the position of a queue's burst in the sequence of bursts. A queue
+	// that is missing has its burst at its position in QueueLoads.
 	Phase map[string]int
 	// Begin is when jobs begin to arrive.
 	Begin time.Duration
@@ -90,13 +90,13 @@
 	return arrivals
 }
 
-// queueArrivals returns the jobs of one queue, whose load peak has the given position in the
-// sequence of peaks. Arrivals are a Poisson process with a varying rate.
+// queueArrivals returns the jobs of one queue, whose burst has the given position in the
+// sequence of bursts. Arrivals are a Poisson process with a varying rate.
 func (s SequentialBursts) queueArrivals(queueLoad QueueLoad, position int, size jaypool.Resources) []Arrival {
 	random := rand.New(rand.NewPCG(s.Seed, uint64(position)))
 	each := s.For / time.Duration(len(s.QueueLoads))
 	center := time.Duration(position)*each + each/2
-	most := queueLoad.Rate * (s.BaseShare + s.peakFactor())
+	most := queueLoad.Rate * (s.BaseShare + s.burstFactor())
 	var arrivals []Arrival
 	for at := time.Duration(0); ; {
 		at += seconds(random.ExpFloat64() / most)
@@ -104,7 +104,7 @@
 			break
 		}
 		widths := (at - center).Seconds() / s.Width.Seconds()
-		rate := queueLoad.Rate * (s.BaseShare + s.peakFactor()*math.Exp(-4*math.Ln2*widths*widths))
+		rate := queueLoad.Rate * (s.BaseShare + s.burstFactor()*math.Exp(-4*math.Ln2*widths*widths))
 		if random.Float64()*most < rate {
 			id := fmt.Sprintf("%s%04d", queueLoad.Queue, len(arrivals))
 			arrivals = append(arrivals, queueLoad.job(id, s.Begin+at, size, random))
@@ -113,9 +113,9 @@
 	return arrivals
 }
 
-// peakFactor returns the rate at the top of a peak, as a multiple of the mean rate and
+// burstFactor returns the maximum rate of a burst, as a multiple of the mean rate and
 // without the constant part.
-func (s SequentialBursts) peakFactor() float64 {
+func (s SequentialBursts) burstFactor() float64 {
 	return (1 - s.BaseShare) * s.For.Seconds() / s.Width.Seconds() * math.Sqrt(4*math.Ln2/math.Pi)
 }
 
