--- a/jayreplay/crash_test.go
+++ b/jayreplay/crash_test.go
@@ -59,7 +59,7 @@
 // again and again, until its pool has no workers left.
 func TestCrashingTasksAreGivenUp(t *testing.T) {
 	for _, jobs := range []int{1, 5, 20} {
-		t.Run(fmt.Sprint(jobs, " crashing jobs in a load peak"), func(t *testing.T) {
+		t.Run(fmt.Sprint(jobs, " crashing jobs in a burst"), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			r := Play(fourBursts(1, withCrashingJobs(jobs, 8*time.Millisecond)))
--- a/jayreplay/simulation_test.go
+++ b/jayreplay/simulation_test.go
@@ -17,7 +17,7 @@
 	is.True(len(once.Jobs) > 500)
 }
 
-func TestInstancesFollowLoadPeaks(t *testing.T) {
+func TestInstancesFollowBursts(t *testing.T) {
 	// Four queues have their bursts one after the other. Each burst needs several times
 	// the instances of its pool, and a move takes a fifth of a burst.
 	for seed := range uint64(3) {
--- a/jaysched/bounds_test.go
+++ b/jaysched/bounds_test.go
@@ -300,7 +300,7 @@
 	changesAt(t, "a pool is overloaded after 4.25 s without room", 4250*time.Millisecond, func(length time.Duration) bool {
 		return newOverloadedHarness(t, 12, length).pool.jobs["new"].started
 	})
-	t.Run("prospects are reviewed ten times a second", func(t *testing.T) {
+	t.Run("deadline status is reviewed ten times a second", func(t *testing.T) {
 		w := newHarness(t, 1)
 		w.pool.deadlineReviewAt = 0
 		w.pool.reviewDeadlines(w.now)
--- a/jaysched/forecast_test.go
+++ b/jaysched/forecast_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestLoadSpikeIsPredictedWhileThereIsRoom(t *testing.T) {
+func TestBurstIsPredictedWhileThereIsRoom(t *testing.T) {
 	// Guards against hosts that arrive a second late in a burst: the pool has free room when
 	// the burst begins, so its first jobs run immediately, and only waiting tasks were taken as
 	// an indication of a burst.
--- a/jaysched/suspect_test.go
+++ b/jaysched/suspect_test.go
@@ -225,7 +225,7 @@
 			is.New(t).Equal(renewals(w.sent)[id].Order.Wait, startRiskTime)
 		}
 	})
-	t.Run("find a worker during a load spike", func(t *testing.T) {
+	t.Run("find a worker during a burst", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		declare(w, newSpec("j", 1, single))
--- a/jaysched/vacate_test.go
+++ b/jaysched/vacate_test.go
@@ -104,7 +104,7 @@
 		w.pass(2 * time.Second)
 		is.Equal(w.pool.Demand(w.now).NeedMilli, int64(6000))
 	})
-	t.Run("predicts a load spike", func(t *testing.T) {
+	t.Run("predicts a burst", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 1)
 		for n := range 10 {
