--- a/jaynode/settings.go
+++ b/jaynode/settings.go
@@ -15,7 +15,7 @@
 	// StopTime is the maximum time that a worker takes to stop a run.
 	StopTime time.Duration
 	// FarFactor is the factor by which a task takes longer on a worker outside the rack
-	// of its data or of its step.
+	// of its data or of its step. It has no effect: the scheduler does not use it.
 	FarFactor float64
 	// MoveTime and MaintenanceTime are how long a host is unavailable during a move and
 	// during maintenance.
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -21,7 +21,7 @@
 	// MoveTime is how long a host takes to move from one pool to another.
 	MoveTime time.Duration
 	// FarFactor is the factor by which a task takes longer on a worker outside the rack of its
-	// data or of its step.
+	// data or of its step. It has no effect: the scheduler does not use it.
 	FarFactor float64
 }
 
