--- a/jayaccount/account.go
+++ b/jayaccount/account.go
@@ -15,10 +15,10 @@
 
 // Causes of waiting.
 const (
-	// OnTheWay means that instances were being moved to the pool.
-	OnTheWay Cause = iota
-	// Elsewhere means that instances were off, or idle in other pools.
-	Elsewhere
+	// MovingIn means that instances were being moved to the pool.
+	MovingIn Cause = iota
+	// OutsidePool means that instances were off, or idle in other pools.
+	OutsidePool
 	// Full means that all instances were in use.
 	Full
 	// Unknown means that no recent state of the pool was logged, for example
@@ -44,14 +44,14 @@
 	Late    int
 	Refused int
 	Open    int
-	// Stored is the time from submission to acceptance, Taken the time from
-	// acceptance until the pool's owner declared the job, Waited the time during
-	// which a task that was ready to run had no worker, by cause, and Shown the
+	// AcceptDelay is the time from submission to acceptance, DeclareDelay the time
+	// from acceptance until the pool's owner declared the job, Waited the time during
+	// which a task that was ready to run had no worker, by cause, and RecordDelay the
 	// time from the job's end until the end was recorded.
-	Stored time.Duration
-	Taken  time.Duration
-	Waited [causeCount]time.Duration
-	Shown  time.Duration
+	AcceptDelay  time.Duration
+	DeclareDelay time.Duration
+	Waited       [causeCount]time.Duration
+	RecordDelay  time.Duration
 	// Starts is the number of runs, Repeats the number of those whose task had run
 	// before.
 	Starts  int
@@ -95,28 +95,28 @@
 	Queues  []QueueRow
 	Pools   []PoolRow
 	Seconds []SecondRow
-	// Best is an upper bound of the jobs that could have been done in time.
-	Best Best
+	// InTimeBound is an upper bound of the jobs that could have been done in time.
+	InTimeBound InTimeBound
 }
 
 // timeStep is the resolution at which waits are attributed to causes, and the step
-// of the simulation that computes Best.
+// of the simulation that computes InTimeBound.
 const timeStep = 20 * time.Millisecond
 
 // maxStateAge is the age up to which a logged pool state explains a wait.
 const maxStateAge = 1200 * time.Millisecond
 
 // Account computes the tables from the log lines read so far.
-func (l *Ledger) Account() Account {
+func (l *LogReader) Account() Account {
 	slices.SortStableFunc(l.states, func(a, b poolState) int { return a.at.Compare(b.at) })
 	byPool := map[string][]poolState{}
 	for _, s := range l.states {
 		byPool[s.Pool] = append(byPool[s.Pool], s)
 	}
-	return Account{Queues: l.queueRows(byPool), Pools: poolRows(byPool), Seconds: l.secondRows(), Best: l.best()}
+	return Account{Queues: l.queueRows(byPool), Pools: poolRows(byPool), Seconds: l.secondRows(), InTimeBound: l.inTimeBound()}
 }
 
-func (l *Ledger) queueRows(byPool map[string][]poolState) []QueueRow {
+func (l *LogReader) queueRows(byPool map[string][]poolState) []QueueRow {
 	rows := map[string]*QueueRow{}
 	for _, j := range l.jobs {
 		row, known := rows[j.queue]
@@ -142,10 +142,10 @@
 	r.Starts += j.starts
 	r.Repeats += j.repeats
 	if !j.accepted.IsZero() && !j.submitted.IsZero() {
-		r.Stored += j.accepted.Sub(j.submitted)
+		r.AcceptDelay += j.accepted.Sub(j.submitted)
 	}
 	if !j.accepted.IsZero() && j.declared.After(j.accepted) {
-		r.Taken += j.declared.Sub(j.accepted)
+		r.DeclareDelay += j.declared.Sub(j.accepted)
 	}
 	for cause, d := range waitsOf(j, byPool[j.pool]) {
 		r.Waited[cause] += d
@@ -158,7 +158,7 @@
 		r.Late++
 	}
 	if j.recorded.After(j.ended) {
-		r.Shown += j.recorded.Sub(j.ended)
+		r.RecordDelay += j.recorded.Sub(j.ended)
 	}
 }
 
@@ -193,9 +193,9 @@
 	s := states[n-1]
 	switch {
 	case s.Coming > 0:
-		return OnTheWay
+		return MovingIn
 	case s.Off > 0:
-		return Elsewhere
+		return OutsidePool
 	default:
 		return Full
 	}
@@ -221,7 +221,7 @@
 	return rows
 }
 
-func (l *Ledger) secondRows() []SecondRow {
+func (l *LogReader) secondRows() []SecondRow {
 	var first time.Time
 	for _, j := range l.jobs {
 		if !j.submitted.IsZero() && (first.IsZero() || j.submitted.Before(first)) {
@@ -285,11 +285,11 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "queue\tjobs\tlate\trefused\topen\tstored s\ttaken s\ton the way s\telsewhere s\tfull s\tunknown s\tshown s\tstarts\trepeats\t")
 	for _, r := range a.Queues {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t", r.Queue, r.Jobs, r.Late, r.Refused, r.Open, r.Stored.Seconds(), r.Taken.Seconds())
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t", r.Queue, r.Jobs, r.Late, r.Refused, r.Open, r.AcceptDelay.Seconds(), r.DeclareDelay.Seconds())
 		for _, d := range r.Waited {
 			fmt.Fprintf(w, "%.1f\t", d.Seconds())
 		}
-		fmt.Fprintf(w, "%.1f\t%d\t%d\t\n", r.Shown.Seconds(), r.Starts, r.Repeats)
+		fmt.Fprintf(w, "%.1f\t%d\t%d\t\n", r.RecordDelay.Seconds(), r.Starts, r.Repeats)
 	}
 	fmt.Fprintln(w, "\npool\ton s\tused s\tidle s\tlasting s\tleaving s\t")
 	for _, r := range a.Pools {
@@ -299,6 +299,6 @@
 	for _, r := range a.Seconds {
 		fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t\n", r.Second, r.Jobs, r.Late, r.Need, r.On, r.Off)
 	}
-	fmt.Fprintf(w, "\njobs with a time: %d; in time: %d; in time at best, if every instance served every pool: %d\n", a.Best.Jobs, a.Best.InTime, a.Best.Possible)
+	fmt.Fprintf(w, "\njobs with a time: %d; in time: %d; in time at best, if every instance served every pool: %d\n", a.InTimeBound.Jobs, a.InTimeBound.InTime, a.InTimeBound.Possible)
 	return w.Flush()
 }
--- a/jayaccount/account_test.go
+++ b/jayaccount/account_test.go
@@ -38,7 +38,7 @@
 
 func accountOf(t *testing.T, log string) Account {
 	t.Helper()
-	l := NewLedger()
+	l := NewLogReader()
 	is.New(t).NoErr(l.Read(strings.NewReader(log)))
 	return l.Account()
 }
@@ -51,10 +51,10 @@
 		r := a.Queues[0]
 		is.Equal(r.Jobs, 1)
 		is.Equal(r.Late, 0)
-		is.Equal(r.Stored, 100*time.Millisecond)
-		is.Equal(r.Taken, 20*time.Millisecond)
+		is.Equal(r.AcceptDelay, 100*time.Millisecond)
+		is.Equal(r.DeclareDelay, 20*time.Millisecond)
 		is.Equal(r.Waited[Full], 300*time.Millisecond)
-		is.Equal(r.Shown, 50*time.Millisecond)
+		is.Equal(r.RecordDelay, 50*time.Millisecond)
 		is.Equal(r.Starts, 1)
 	})
 	t.Run("late, refused and open jobs", func(t *testing.T) {
@@ -73,8 +73,8 @@
 		log := stateLine(0, 2, 1, 0, 0, 1, 0, 0, 1000) + stateLine(190, 2, 1, 0, 0, 0, 3, 0, 1000) +
 			jobLines("a", "q", 0, 300, 100, 900, 1) + jobLines("late", "q", 3000, 100, 100, 900, 1)
 		r := accountOf(t, log).Queues[0]
-		is.Equal(r.Waited[OnTheWay], 100*time.Millisecond)
-		is.Equal(r.Waited[Elsewhere], 200*time.Millisecond)
+		is.Equal(r.Waited[MovingIn], 100*time.Millisecond)
+		is.Equal(r.Waited[OutsidePool], 200*time.Millisecond)
 		is.Equal(r.Waited[Unknown], 100*time.Millisecond) // the last state is older than maxStateAge
 	})
 	t.Run("repeated run of a task", func(t *testing.T) {
@@ -109,22 +109,22 @@
 	is.Equal(a.Seconds[1], SecondRow{Second: 1, Jobs: 1, Late: 1})
 }
 
-func TestBestBound(t *testing.T) {
+func TestInTimeBound(t *testing.T) {
 	// Two instances of one core each are on and two are off: four cores in all.
 	room := stateLine(0, 2, 2, 0, 0, 0, 2, 0, 2000)
 	cases := []struct {
 		name string
 		log  string
-		want Best
+		want InTimeBound
 	}{
-		{"enough capacity for all jobs", jobLines("a", "q", 0, 0, 900, 2000, 4) + jobLines("b", "q", 0, 0, 900, 2000, 3), Best{Jobs: 2, InTime: 2, Possible: 2}},
-		{"late job that could have been in time", jobLines("a", "q", 0, 1500, 900, 2000, 4), Best{Jobs: 1, InTime: 0, Possible: 1}},
-		{"more work than capacity", jobLines("a", "q", 0, 0, 900, 1100, 4) + jobLines("b", "q", 0, 0, 1900, 1200, 4), Best{Jobs: 2, InTime: 1, Possible: 1}},
-		{"jobs without a target time are not counted", logLine(10, `"message":"job accepted","job":"a","queue":"q","pool":"p","took":"1ms"`), Best{}},
+		{"enough capacity for all jobs", jobLines("a", "q", 0, 0, 900, 2000, 4) + jobLines("b", "q", 0, 0, 900, 2000, 3), InTimeBound{Jobs: 2, InTime: 2, Possible: 2}},
+		{"late job that could have been in time", jobLines("a", "q", 0, 1500, 900, 2000, 4), InTimeBound{Jobs: 1, InTime: 0, Possible: 1}},
+		{"more work than capacity", jobLines("a", "q", 0, 0, 900, 1100, 4) + jobLines("b", "q", 0, 0, 1900, 1200, 4), InTimeBound{Jobs: 2, InTime: 1, Possible: 1}},
+		{"jobs without a target time are not counted", logLine(10, `"message":"job accepted","job":"a","queue":"q","pool":"p","took":"1ms"`), InTimeBound{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(accountOf(t, room+c.log).Best, c.want)
+			is.New(t).Equal(accountOf(t, room+c.log).InTimeBound, c.want)
 		})
 	}
 }
@@ -149,7 +149,7 @@
 }
 
 func ExampleAccount_Write() {
-	l := NewLedger()
+	l := NewLogReader()
 	_ = l.Read(strings.NewReader(stateLine(0, 1, 1, 0, 0, 0, 0, 500, 1000) + jobLines("a", "q", 100, 300, 400, 2000, 1)))
 	var out bytes.Buffer
 	_ = l.Account().Write(&out)
--- a/jayaccount/best.go
+++ b/jayaccount/intimebound.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Best compares the jobs that were done in time with an upper bound.
-type Best struct {
+// InTimeBound compares the jobs that were done in time with an upper bound.
+type InTimeBound struct {
 	// Jobs is the number of accepted jobs that were done and have a target time.
 	// InTime of them were done within it.
 	Jobs   int
@@ -19,11 +19,11 @@
 	Possible int
 }
 
-// best computes the bound by serving the jobs in the order of their target times,
+// inTimeBound computes the bound by serving the jobs in the order of their target times,
 // with the capacity of all instances.
-func (l *Ledger) best() Best {
+func (l *LogReader) inTimeBound() InTimeBound {
 	var jobs []*job
-	var b Best
+	var b InTimeBound
 	for _, j := range l.jobs {
 		if j.submitted.IsZero() || j.accepted.IsZero() || j.within <= 0 || j.work <= 0 || j.outcome != "done" {
 			continue
@@ -41,7 +41,7 @@
 // totalCores returns the largest number of cores that all instances had together,
 // on or off. Instances that are off are assumed to have the average size of those
 // that are on.
-func (l *Ledger) totalCores() float64 {
+func (l *LogReader) totalCores() float64 {
 	on, milli := map[string]int{}, map[string]int64{}
 	most := 0.0
 	for _, s := range l.states {
--- a/jayapi/client.go
+++ b/jayapi/client.go
@@ -12,15 +12,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Refused is the error of a call to which the entry responded with a problem.
-type Refused struct {
+// ResponseError is the error of a call to which the entry responded with a problem.
+type ResponseError struct {
 	Status  int
 	Problem Problem
 }
 
 // Error returns the problem's message.
-func (r *Refused) Error() string {
-	return r.Problem.Error
+func (e *ResponseError) Error() string {
+	return e.Problem.Error
 }
 
 // ErrNoEntry is returned if the entry does not respond.
@@ -59,45 +59,45 @@
 
 // Publish replaces the configuration. It is refused if another revision than
 // p.Replaces is in force.
-func (c *Client) Publish(p Publish) (*Decided, error) {
-	var d Decided
+func (c *Client) Publish(p Publish) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/configuration", p, &d)
 }
 
 // InForce returns the revision that each live entry has in force, and whether all
 // of them have reached the given one.
-func (c *Client) InForce(revision uint64) (*InForce, error) {
-	var f InForce
+func (c *Client) InForce(revision uint64) (*RevisionStatus, error) {
+	var f RevisionStatus
 	return &f, c.get("/v1/inForce?revision="+strconv.FormatUint(revision, 10), &f)
 }
 
 // StartWave starts a maintenance wave. Without pools, the wave covers all pools.
-func (c *Client) StartWave(w Wave) (*Decided, error) {
-	var d Decided
+func (c *Client) StartWave(w Wave) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/waves", w, &d)
 }
 
 // SetWave changes the phase of a wave; verb is pause, resume or cancel.
-func (c *Client) SetWave(wave, verb string) (*Decided, error) {
-	var d Decided
+func (c *Client) SetWave(wave, verb string) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/waves/"+url.PathEscape(wave)+"/"+verb, struct{}{}, &d)
 }
 
 // Move starts the move of an instance to another pool.
-func (c *Client) Move(m Move) (*Decided, error) {
-	var d Decided
+func (c *Client) Move(m Move) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/moves", m, &d)
 }
 
 // ReleaseJob releases a parked job, so that its tasks are placed again.
-func (c *Client) ReleaseJob(job string) (*Decided, error) {
-	var d Decided
+func (c *Client) ReleaseJob(job string) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/jobs/"+url.PathEscape(job)+"/release", struct{}{}, &d)
 }
 
 // Quarantine changes the quarantine of an instance; verb is set or lift.
-func (c *Client) Quarantine(instance, verb string) (*Decided, error) {
-	var d Decided
+func (c *Client) Quarantine(instance, verb string) (*WriteResult, error) {
+	var d WriteResult
 	return &d, c.post("/v1/quarantine/"+url.PathEscape(instance)+"/"+verb, struct{}{}, &d)
 }
 
@@ -167,9 +167,9 @@
 	if resp.StatusCode() == fasthttp.StatusOK {
 		return json.Unmarshal(resp.Body(), into)
 	}
-	refused := &Refused{Status: resp.StatusCode()}
-	if err := json.Unmarshal(resp.Body(), &refused.Problem); err != nil {
-		refused.Problem.Error = strings.TrimSpace(string(resp.Body()))
+	responseError := &ResponseError{Status: resp.StatusCode()}
+	if err := json.Unmarshal(resp.Body(), &responseError.Problem); err != nil {
+		responseError.Problem.Error = strings.TrimSpace(string(resp.Body()))
 	}
-	return refused
+	return responseError
 }
--- a/jayclaim/claimer_test.go
+++ b/jayclaim/claimer_test.go
@@ -21,7 +21,7 @@
 
 func (isolated) Commit(string, *jaywire.Claim, time.Duration) (bool, error) { return false, errNoLog }
 func (isolated) Submit(string, *jaywire.Claim) error                        { return nil }
-func (isolated) Forget(string)                                              {}
+func (isolated) Cancel(string)                                              {}
 func (isolated) Others() []jaystate.Member                                  { return nil }
 func (isolated) Ask(jaystate.Member, *jaywire.PeerRequest) (*jaywire.PeerResponse, error) {
 	return nil, errNoLog
@@ -42,11 +42,11 @@
 	is := is.New(t)
 	c := newIsolated()
 	key := NewKey("caller", "k")
-	_, err := c.Take(key, nil, time.Second)
+	_, err := c.Claim(key, nil, time.Second)
 	is.Equal(jayverdict.Of(err), jayverdict.NotRun)
 	is.Equal(c.HandleClaim(newClaim("b", key, true)).Outcome, jaywire.ClaimOutcome_CLAIM_OUTCOME_UNREADY)
 	c.SetReady()
-	_, err = c.Take(key, nil, time.Second)
+	_, err = c.Claim(key, nil, time.Second)
 	is.NoErr(err)
 }
 
@@ -80,8 +80,8 @@
 	t.Run("the first claim in the log holds the key", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
-		is.True(table.Fold(newClaim("a", key, false), now))
-		is.True(!table.Fold(newClaim("b", key, false), now))
+		is.True(table.Apply(newClaim("a", key, false), now))
+		is.True(!table.Apply(newClaim("b", key, false), now))
 		holder, _ := table.Holder(key)
 		is.Equal(holder.Id, "a")
 	})
@@ -90,14 +90,14 @@
 		table := NewTable(time.Minute)
 		table.Release(newClaim("a", key, false), now)
 		table.Grant(newClaim("a", key, false), now)
-		is.True(!table.Fold(newClaim("a", key, false), now))
+		is.True(!table.Apply(newClaim("a", key, false), now))
 		_, held := table.Holder(key)
 		is.True(!held)
 	})
 	t.Run("keys expire after the window", func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(time.Minute)
-		table.Fold(newClaim("a", key, false), now)
+		table.Apply(newClaim("a", key, false), now)
 		table.Expire(now.Add(time.Minute))
 		is.Equal(table.Len(), 1)
 		table.Expire(now.Add(time.Minute + 1))
--- a/jaycli/apply.go
+++ b/jaycli/apply.go
@@ -45,16 +45,16 @@
 	if err != nil {
 		return err
 	}
-	decided, err := client.Publish(jayapi.Publish{Replaces: replaces, Message: c.String("message"), Document: string(document)})
+	result, err := client.Publish(jayapi.Publish{Replaces: replaces, Message: c.String("message"), Document: string(document)})
 	if err != nil {
 		return withConflictDiff(err, path, string(document))
 	}
 	if c.Bool("wait") {
-		if err := awaitInForce(ctx, c, client, decided.Revision); err != nil {
+		if err := awaitInForce(ctx, c, client, result.Revision); err != nil {
 			return err
 		}
 	}
-	return show(c, decided, func(p *printer) { p.row("accepted as revision", decided.Revision) })
+	return show(c, result, func(p *printer) { p.row("accepted as revision", result.Revision) })
 }
 
 func revisionToReplace(c *cli.Command, client *jayapi.Client) (uint64, error) {
@@ -72,11 +72,11 @@
 // force and the refused one, so that neither change is lost. Other errors are
 // returned unchanged.
 func withConflictDiff(err error, path, document string) error {
-	var refused *jayapi.Refused
-	if !errors.As(err, &refused) || refused.Problem.InForce == nil {
+	var responseError *jayapi.ResponseError
+	if !errors.As(err, &responseError) || responseError.Problem.InForce == nil {
 		return err
 	}
-	other := refused.Problem.InForce
+	other := responseError.Problem.InForce
 	diff, diffErr := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A:        difflib.SplitLines(other.Document),
 		B:        difflib.SplitLines(document),
--- a/jaycli/serve_jobs.go
+++ b/jaycli/serve_jobs.go
@@ -30,14 +30,14 @@
 func serveJobs(ctx context.Context, c *cli.Command, options *jayoptions.Options) error {
 	logger, lines := jaylogger.NewBuffered(os.Stdout, options.LogFormat, options.LogLevel)
 	defer lines.Close(logFlushTimeout)
-	metrics := jaymetric.NewJobs()
+	metrics := jaymetric.NewJobMetrics()
 	metrics.Counter("jaythread_lost_log_lines_total", "Log lines that found no room.", func() float64 { return float64(lines.Lost()) })
 	if err := serveMetrics(options.JobService.MetricsAddr, metrics); err != nil {
 		return err
 	}
 	node := newNode(options, logger, metrics)
-	front := platform.NewFront(node)
-	if err := serveReadiness(options, front); err != nil {
+	api := platform.NewAPI(node)
+	if err := serveReadiness(options, api); err != nil {
 		return err
 	}
 	edge := jayedge.NewEdge(jayedge.Options{
@@ -47,7 +47,7 @@
 		MaxConns:        options.MaxCallerConns,
 		Idle:            time.Duration(options.CallerIdle),
 		Write:           time.Duration(options.RequestTimeout),
-	}, front.Handle, logger.WithName("edge"))
+	}, api.Handle, logger.WithName("edge"))
 	if err := edge.Start(); err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 
 // newNode returns an entry with the given settings that is connected to the
 // platform's services.
-func newNode(options *jayoptions.Options, logger logr.Logger, metrics *jaymetric.Jobs) *jaynode.Node {
+func newNode(options *jayoptions.Options, logger logr.Logger, metrics *jaymetric.JobMetrics) *jaynode.Node {
 	s := &options.JobService
 	return jaynode.New(jaynode.Settings{
 		Entry:           options.Entry,
@@ -86,19 +86,19 @@
 }
 
 // serveReadiness serves readiness checks to the load balancer.
-func serveReadiness(options *jayoptions.Options, front *platform.Front) error {
+func serveReadiness(options *jayoptions.Options, api *platform.API) error {
 	listener, err := net.Listen("tcp4", options.JobService.ReadyAddr)
 	if err != nil {
 		return fmt.Errorf("listen for readiness checks: %w", err)
 	}
-	server := &fasthttp.Server{Handler: front.Ready, NoDefaultServerHeader: true, IdleTimeout: time.Duration(options.CallerIdle)}
+	server := &fasthttp.Server{Handler: api.Ready, NoDefaultServerHeader: true, IdleTimeout: time.Duration(options.CallerIdle)}
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
 
 // serveMetrics serves the metrics at an address. It does nothing if the address is
 // empty.
-func serveMetrics(addr string, m *jaymetric.Jobs) error {
+func serveMetrics(addr string, m *jaymetric.JobMetrics) error {
 	if addr == "" {
 		return nil
 	}
@@ -115,7 +115,7 @@
 // closed.
 const metricsIdleTimeout = time.Minute
 
-func metricsHandler(m *jaymetric.Jobs) fasthttp.RequestHandler {
+func metricsHandler(m *jaymetric.JobMetrics) fasthttp.RequestHandler {
 	return fasthttpadaptor.NewFastHTTPHandler(m.Handler())
 }
 
--- a/jayentry/entry.go
+++ b/jayentry/entry.go
@@ -91,7 +91,7 @@
 	if options.Entry == "" {
 		options.Entry = options.DataCenter + "-" + uuid.NewString()[:8]
 	}
-	keys, err := jaypeer.LoadKeys(options.PeerCertFile, options.PeerKeyFile, options.PeerAuthorityFile)
+	keys, err := jaypeer.LoadTLSConfig(options.PeerCertFile, options.PeerKeyFile, options.PeerAuthorityFile)
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 		Window:      time.Duration(o.ClaimWindow),
 		Copies:      o.ClaimCopies,
 		LogTimeout:  time.Duration(o.ClaimLogTimeout),
-		StoredBytes: o.StoredAnswerSize,
+		StoredBytes: o.StoredAnswerBytes,
 		LogAge:      func() time.Duration { return e.claimFollower.Age() },
 	}, e.claimLog, e.members, e.base.WithName("claims"))
 	e.claimLog.claimer = e.claimer
--- a/jayentry/peers.go
+++ b/jayentry/peers.go
@@ -308,10 +308,10 @@
 	return m.majority(func(h peerHealth) time.Time { return h.heard })
 }
 
-// Confirmed reports whether, within the view lease, a majority was heard that was
+// MajorityAgrees reports whether, within the view lease, a majority was heard that was
 // not ahead of this entry's view. Hearing from peers alone is not enough: an entry
 // that resumes after a pause hears them at once, but its view is old.
-func (m *Membership) Confirmed() bool {
+func (m *Membership) MajorityAgrees() bool {
 	return m.majority(func(h peerHealth) time.Time { return h.confirmed })
 }
 
@@ -328,7 +328,7 @@
 	return 2*heard > len(others)+1
 }
 
-// Acked returns the lowest offset that is applied at every member that may still
+// MinRoutedOffset returns the lowest offset that is applied at every member that may still
 // route by its view.
 //
 // A member that has ended does not count. If a member was silent for twice the
@@ -337,8 +337,8 @@
 // majority, at least one member belongs both to that majority and to the one heard
 // here, and has passed that offset on. If the silent member hears no majority, its
 // view lease has expired since.
-func (m *Membership) Acked() uint64 {
-	acked, _ := m.position()
+func (m *Membership) MinRoutedOffset() uint64 {
+	lowest, _ := m.position()
 	majority := m.Majority()
 	others := m.Others()
 	m.mu.Lock()
@@ -354,12 +354,12 @@
 			heard = m.started
 		}
 		if majority && m.now().Sub(heard) > 2*viewLease {
-			acked = min(acked, max(h.offset, lapsedOffset))
+			lowest = min(lowest, max(h.offset, lapsedOffset))
 			continue
 		}
-		acked = min(acked, h.offset)
+		lowest = min(lowest, h.offset)
 	}
-	return acked
+	return lowest
 }
 
 // recordApplied appends the current offset to the history of applied offsets.
--- a/jayentry/planner.go
+++ b/jayentry/planner.go
@@ -75,7 +75,7 @@
 		return 0
 	}
 	d.removeEnded()
-	in := jayplan.Input{Workers: d.entry.router.Workers(), Now: time.Now(), Acked: d.entry.members.Acked()}
+	in := jayplan.Input{Workers: d.entry.router.Workers(), Now: time.Now(), MinAppliedOffset: d.entry.members.MinRoutedOffset()}
 	var out jayplan.Output
 	began := time.Now()
 	d.entry.store.Read(func(s *jaystate.State) {
@@ -110,7 +110,7 @@
 		// Outdated commands must not accumulate during an outage and be appended
 		// all at once after it. The next round plans again.
 		for _, c := range commands {
-			d.entry.store.committer.Forget(c.Id)
+			d.entry.store.committer.Cancel(c.Id)
 		}
 	}
 }
--- a/jayfleet/fleet.go
+++ b/jayfleet/fleet.go
@@ -113,13 +113,13 @@
 	// shortSince is the time since which a pool has had less than its share, by pool.
 	shortSince map[string]time.Duration
 	// short reports whether some pool has fewer hosts than it can use soon.
-	short   bool
-	actions []Action
-	notes   []Note
+	short       bool
+	actions     []Action
+	hostChanges []HostChange
 }
 
-// Note is a change in the known state of a host.
-type Note struct {
+// HostChange is a change in the known state of a host.
+type HostChange struct {
 	Host   string
 	Pool   string
 	State  jayport.HostState
@@ -199,8 +199,8 @@
 	}
 }
 
-// Listed applies an inventory listing that was requested at the given time.
-func (f *Fleet) Listed(list []jayport.Host, asked time.Duration) {
+// ApplyInventory applies an inventory listing that was requested at the given time.
+func (f *Fleet) ApplyInventory(list []jayport.Host, asked time.Duration) {
 	f.listedAt, f.complete = asked, jayport.Complete(list)
 	present := make(map[string]bool, len(list))
 	for _, listed := range list {
@@ -215,7 +215,7 @@
 			f.sorted = append(f.sorted, h)
 		}
 		if h.Pool != listed.Pool || h.State != listed.State || h.Worker != listed.Worker {
-			f.notes = append(f.notes, Note{Host: listed.Name, Pool: listed.Pool, State: listed.State, Worker: listed.Worker})
+			f.hostChanges = append(f.hostChanges, HostChange{Host: listed.Name, Pool: listed.Pool, State: listed.State, Worker: listed.Worker})
 		}
 		h.Host = listed
 		h.clearCompletedCommand(asked)
@@ -242,20 +242,20 @@
 	}
 }
 
-// Notes returns and clears the notes collected since the last call.
-func (f *Fleet) Notes() []Note {
-	notes := f.notes
-	f.notes = nil
-	return notes
+// TakeHostChanges returns and clears the changes collected since the last call.
+func (f *Fleet) TakeHostChanges() []HostChange {
+	changes := f.hostChanges
+	f.hostChanges = nil
+	return changes
 }
 
-// Demanded stores the latest demand of a pool.
-func (f *Fleet) Demanded(pool string, d Demand) {
+// SetDemand stores the latest demand of a pool.
+func (f *Fleet) SetDemand(pool string, d Demand) {
 	f.demands[pool] = d
 }
 
-// Answered applies the inventory's answer to the command on a host.
-func (f *Fleet) Answered(name string, err error, now time.Duration) {
+// HandleAnswer applies the inventory's answer to the command on a host.
+func (f *Fleet) HandleAnswer(name string, err error, now time.Duration) {
 	h, known := f.hosts[name]
 	if !known || h.command == nil {
 		return
--- a/jayfleet/guard.go
+++ b/jayfleet/guard.go
@@ -49,9 +49,9 @@
 	// FencesChecked reports whether the inventory rejects a fence lower than the highest
 	// one that it has seen for the host.
 	FencesChecked bool
-	// HolderTime is the inventory's minimum delay between commands of different owners on
+	// OwnerChangeDelay is the inventory's minimum delay between commands of different owners on
 	// the same host.
-	HolderTime time.Duration
+	OwnerChangeDelay time.Duration
 	// CallTime is the maximum duration of a call to the inventory.
 	CallTime time.Duration
 }
@@ -61,9 +61,9 @@
 // sent at the last permitted moment.
 func (g Guard) HoldTime() time.Duration {
 	if g.FencesChecked {
-		return g.HolderTime
+		return g.OwnerChangeDelay
 	}
-	return max(g.HolderTime, maxCommandAge+g.CallTime)
+	return max(g.OwnerChangeDelay, maxCommandAge+g.CallTime)
 }
 
 // RecordTimeout returns how long a command waits for its record.
@@ -107,9 +107,9 @@
 // Takeover is the time at which an owner took over, by its clock and by wall-clock time,
 // and the wall-clock time at which its entry was started.
 type Takeover struct {
-	Clock   time.Duration
-	Day     time.Time
-	Started time.Time
+	Clock    time.Duration
+	WallTime time.Time
+	Started  time.Time
 }
 
 // HeldUntil returns the time, by the new owner's clock, until which it must not send
@@ -127,7 +127,7 @@
 		return 0
 	case command.ClockKnown:
 		return command.DecidedBy + g.HoldTime()
-	case command.At.Before(t.Day.Add(-g.HoldTime() - 2*clockSkew)):
+	case command.At.Before(t.WallTime.Add(-g.HoldTime() - 2*clockSkew)):
 		return 0
 	default:
 		return t.Clock + g.HoldTime()
--- a/jayfleet/guard_test.go
+++ b/jayfleet/guard_test.go
@@ -33,11 +33,11 @@
 }
 
 func TestGuardHeldUntil(t *testing.T) {
-	takeover := Takeover{Clock: time.Hour, Day: time.UnixMilli(1_000_000_000)}
+	takeover := Takeover{Clock: time.Hour, WallTime: time.UnixMilli(1_000_000_000)}
 	heldFor := func(g Guard, command RecordedCommand, sinceCommand, sinceStart time.Duration) time.Duration {
-		g.HolderTime = 3 * time.Second
-		command.At = takeover.Day.Add(-sinceCommand)
-		takeover.Started = takeover.Day.Add(-sinceStart)
+		g.OwnerChangeDelay = 3 * time.Second
+		command.At = takeover.WallTime.Add(-sinceCommand)
+		takeover.Started = takeover.WallTime.Add(-sinceStart)
 		return max(0, g.HeldUntil(command, takeover)-takeover.Clock)
 	}
 	checked, unchecked := Guard{FencesChecked: true}, Guard{}
@@ -133,7 +133,7 @@
 	}
 	day := time.UnixMilli(1_000_000_000)
 	command := RecordedCommand{At: day.Add(-r.skew), ClockKnown: r.clockKnown}
-	at := Takeover{Clock: r.takeover, Day: day.Add(r.takeover), Started: day.Add(r.takeover - r.sinceStart)}
+	at := Takeover{Clock: r.takeover, WallTime: day.Add(r.takeover), Started: day.Add(r.takeover - r.sinceStart)}
 	return max(r.takeover, r.guard.HeldUntil(command, at))
 }
 
@@ -166,7 +166,7 @@
 	// command after one of the next owner's. The model covers all orders of decision,
 	// record, answer, pause, sending, delayed arrival and takeover, with wall clocks that
 	// differ by up to twice the assumed error.
-	g := Guard{HolderTime: 3 * time.Second, CallTime: 700 * time.Millisecond}
+	g := Guard{OwnerChangeDelay: 3 * time.Second, CallTime: 700 * time.Millisecond}
 	count, sent := 0, 0
 	forEachInterleaving(g, func(r interleaving) {
 		count++
--- a/jayfleet/thresholds_test.go
+++ b/jayfleet/thresholds_test.go
@@ -43,7 +43,7 @@
 		}
 		hosts = append(hosts, h)
 	}
-	f.Listed(hosts, time.Minute)
+	f.ApplyInventory(hosts, time.Minute)
 	return f
 }
 
@@ -76,7 +76,7 @@
 	})
 	checkThreshold(t, "a demand is valid for 1 s", time.Second, func(age time.Duration) bool {
 		f := listed(1, 0)
-		f.Demanded("seats", Demand{At: time.Minute})
+		f.SetDemand("seats", Demand{At: time.Minute})
 		return len(f.balances(time.Minute+age)) == 1
 	})
 	t.Run("one host in reserve", func(t *testing.T) {
@@ -138,7 +138,7 @@
 	t.Run("a long-running task costs as much as four cores", func(t *testing.T) {
 		is := is.New(t)
 		f := listed(1, 0)
-		f.Demanded("seats", Demand{Loads: map[string]Load{"w0": {UsedMilli: 500, LongRuns: 2}}})
+		f.SetDemand("seats", Demand{Loads: map[string]Load{"w0": {UsedMilli: 500, LongRuns: 2}}})
 		is.Equal(f.cost(f.sorted[0]), int64(8500))
 	})
 	t.Run("a round takes 1.5 s more than the maintenance", func(t *testing.T) {
@@ -155,8 +155,8 @@
 }
 
 func TestGuardThresholds(t *testing.T) {
-	checked := Guard{FencesChecked: true, HolderTime: 3 * time.Second, CallTime: 700 * time.Millisecond}
-	unchecked := Guard{HolderTime: time.Second, CallTime: 700 * time.Millisecond}
+	checked := Guard{FencesChecked: true, OwnerChangeDelay: 3 * time.Second, CallTime: 700 * time.Millisecond}
+	unchecked := Guard{OwnerChangeDelay: time.Second, CallTime: 700 * time.Millisecond}
 	is := is.New(t)
 	is.Equal(checked.HoldTime(), 3*time.Second)
 	is.Equal(unchecked.HoldTime(), 1700*time.Millisecond) // covers a command sent at the last permitted moment
@@ -169,6 +169,6 @@
 	day := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	checkThreshold(t, "a command by an unknown clock holds its host for up to 8 s", 8*time.Second, func(age time.Duration) bool {
 		command := RecordedCommand{At: day.Add(-age)}
-		return checked.HeldUntil(command, Takeover{Clock: time.Hour, Day: day, Started: day.Add(-time.Hour)}) > 0
+		return checked.HeldUntil(command, Takeover{Clock: time.Hour, WallTime: day, Started: day.Add(-time.Hour)}) > 0
 	})
 }
--- a/jayfleet/world_test.go
+++ b/jayfleet/world_test.go
@@ -103,7 +103,7 @@
 			list = append(list, *w.hosts[name])
 		}
 	}
-	w.fleet.Listed(list, w.now)
+	w.fleet.ApplyInventory(list, w.now)
 	w.evict()
 	w.reportDemands()
 	for _, a := range w.fleet.Decide(w.now) {
@@ -146,7 +146,7 @@
 			}
 			d.Loads[h.Worker] = l
 		}
-		w.fleet.Demanded(pool, d)
+		w.fleet.SetDemand(pool, d)
 	}
 }
 
@@ -171,13 +171,13 @@
 		if err == nil || errors.Is(err, jayport.ErrNoAnswer) {
 			w.leave(a.Host, jayport.HostMoving, a.Pool, 1500*time.Millisecond)
 		}
-		w.fleet.Answered(a.Host, err, w.now)
+		w.fleet.HandleAnswer(a.Host, err, w.now)
 	case MaintainHost:
 		err := w.answer(a)
 		if err == nil {
 			w.leave(a.Host, jayport.HostMaintained, w.hosts[a.Host].Pool, 2*time.Second)
 		}
-		w.fleet.Answered(a.Host, err, w.now)
+		w.fleet.HandleAnswer(a.Host, err, w.now)
 	case RecordWave:
 	}
 }
--- a/jayjournal/journal.go
+++ b/jayjournal/journal.go
@@ -37,7 +37,7 @@
 type Entry struct {
 	Records []jayport.Record
 	// Done is called once: with nil when the records are stored, with
-	// jayport.ErrNotDone if the entry has no effect, and with a
+	// jayport.ErrRejected if the entry has no effect, and with a
 	// *jayport.FencedError if another producer has taken over.
 	Done func(error)
 
@@ -70,7 +70,7 @@
 	epoch     int64
 	clock     jayclock.Clock
 	logger    logr.Logger
-	// failOnReject is set by WithRefusals.
+	// failOnReject is set by WithFailOnReject.
 	failOnReject bool
 
 	queue    *jayring.Ring[*Entry]
@@ -86,9 +86,9 @@
 // Option configures a journal.
 type Option func(*Journal)
 
-// WithRefusals makes the journal report jayport.ErrNotDone for an append once the
+// WithFailOnReject makes the journal report jayport.ErrRejected for an append once the
 // store has certainly rejected every attempt, instead of retrying it.
-func WithRefusals() Option {
+func WithFailOnReject() Option {
 	return func(j *Journal) { j.failOnReject = true }
 }
 
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// StuckFor returns the time since the current append began, or zero if there is
+// AppendAge returns the time since the current append began, or zero if there is
 // none.
-func (j *Journal) StuckFor() time.Duration {
+func (j *Journal) AppendAge() time.Duration {
 	since := j.appendStarted.Load()
 	if since == 0 {
 		return 0
@@ -170,7 +170,7 @@
 		for _, e := range batch {
 			e.Done(err)
 		}
-		if err != nil && !errors.Is(err, jayport.ErrNotDone) {
+		if err != nil && !errors.Is(err, jayport.ErrRejected) {
 			return err
 		}
 	}
--- a/jayjournal/journal_test.go
+++ b/jayjournal/journal_test.go
@@ -42,7 +42,7 @@
 var (
 	lostAfterAppend  = scriptedResponse{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer), done: true}
 	lostBeforeAppend = scriptedResponse{err: fmt.Errorf("%w: test", jayport.ErrNoAnswer)}
-	rejected         = scriptedResponse{err: fmt.Errorf("%w: test", jayport.ErrNotDone)}
+	rejected         = scriptedResponse{err: fmt.Errorf("%w: test", jayport.ErrRejected)}
 )
 
 func newStore(script ...scriptedResponse) *scriptedStore {
@@ -122,12 +122,12 @@
 		{"response lost, append applied", []scriptedResponse{lostAfterAppend}, nil, nil, []string{"a"}},
 		{"response lost, append not applied", []scriptedResponse{lostBeforeAppend, lostAfterAppend, lostBeforeAppend}, nil, nil, []string{"a"}},
 		{"rejected, retried", []scriptedResponse{rejected, rejected}, nil, nil, []string{"a"}},
-		{"rejected, reported as failed", []scriptedResponse{rejected}, []Option{WithRefusals()}, jayport.ErrNotDone, nil},
+		{"rejected, reported as failed", []scriptedResponse{rejected}, []Option{WithFailOnReject()}, jayport.ErrRejected, nil},
 		// The response to an append is lost and the retry is rejected. The
 		// rejection proves nothing about the first attempt: a job that was
 		// reported as refused could run.
-		{"response lost, retry rejected", []scriptedResponse{lostAfterAppend, rejected}, []Option{WithRefusals()}, nil, []string{"a"}},
-		{"response lost, retries rejected beyond the timeout of the first attempt", append([]scriptedResponse{lostAfterAppend}, slices.Repeat([]scriptedResponse{rejected}, 12)...), []Option{WithRefusals()}, nil, []string{"a"}},
+		{"response lost, retry rejected", []scriptedResponse{lostAfterAppend, rejected}, []Option{WithFailOnReject()}, nil, []string{"a"}},
+		{"response lost, retries rejected beyond the timeout of the first attempt", append([]scriptedResponse{lostAfterAppend}, slices.Repeat([]scriptedResponse{rejected}, 12)...), []Option{WithFailOnReject()}, nil, []string{"a"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -174,9 +174,9 @@
 		waiting, never := add(t, j, "waiting")
 		is.True(!sent.Withdraw()) // it may have taken effect
 		is.True(waiting.Withdraw())
-		is.True(j.StuckFor() == 0)
+		is.True(j.AppendAge() == 0)
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(j.StuckFor(), 100*time.Millisecond)
+		is.Equal(j.AppendAge(), 100*time.Millisecond)
 		is.NoErr(<-done)
 		synctest.Wait()
 		is.Equal(s.order, []string{"sent"})
--- a/jaymember/entries_test.go
+++ b/jaymember/entries_test.go
@@ -12,7 +12,7 @@
 	"jaythread/jaywire"
 )
 
-func TestRestartedActorHasEnded(t *testing.T) {
+func TestRestartedActorHasCertainlyEnded(t *testing.T) {
 	// Guards against a pool in a burst that gets no host for three seconds after all
 	// entries lost power. An entry moved hosts, released its duties and was restarted
 	// shortly before the power loss. The fleet's new owner sent no commands to these
@@ -25,12 +25,12 @@
 		is.NoErr(err)
 		m.Entries.Apply(jayport.Record{Key: "e2", Value: value})
 	}
-	is.True(!m.Liveness.Ended("e2-00000001", acted)) // no announcement yet
+	is.True(!m.Liveness.CertainlyEnded("e2-00000001", acted)) // no announcement yet
 	announce("e2-00000001", acted.Add(-time.Minute))
-	is.True(!m.Liveness.Ended("e2-00000001", acted))
+	is.True(!m.Liveness.CertainlyEnded("e2-00000001", acted))
 	announce("e2-00000002", acted.Add(time.Second))
-	is.True(m.Liveness.Ended("e2-00000001", acted))
-	is.True(!m.Liveness.Ended("e2-00000002", acted))
+	is.True(m.Liveness.CertainlyEnded("e2-00000001", acted))
+	is.True(!m.Liveness.CertainlyEnded("e2-00000002", acted))
 	announce("e2-00000000", acted.Add(-time.Hour)) // late announcement of an earlier process
-	is.True(!m.Liveness.Ended("e2-00000002", acted))
+	is.True(!m.Liveness.CertainlyEnded("e2-00000002", acted))
 }
--- a/jaymember/owners.go
+++ b/jaymember/owners.go
@@ -65,7 +65,7 @@
 	}
 	if c, ok := o.working.Claim(jayowner.Duty(r.Key)); ok {
 		o.mu.Lock()
-		o.turnover.Claimed(c, o.members.Clock())
+		o.turnover.AddClaim(c, o.members.Clock())
 		o.mu.Unlock()
 		o.logger.Info("duty claimed", "duty", r.Key, "owner", c.Incarnation, "fence", c.Fence, "term", c.Term, "released", c.Released)
 	}
@@ -79,10 +79,10 @@
 	return o.turnover.TimeoutFactor(d, now)
 }
 
-// CaughtUp publishes the claims and then calls ClaimsRead.
+// CaughtUp publishes the claims and then calls OnClaimsRead.
 func (o *Owners) CaughtUp(asOf time.Duration) {
 	o.Publish(&View{Table: o.working.Clone(), next: o.tail.Next(), AsOf: asOf})
-	o.members.ClaimsRead()
+	o.members.OnClaimsRead()
 }
 
 // Publish replaces the current view.
@@ -100,9 +100,9 @@
 	return o.table.Load() != nil
 }
 
-// Of returns the newest claim of a duty, if there is one. The owner still serves a duty
-// that it has released until the next claim.
-func (o *Owners) Of(d jayowner.Duty) (jayowner.Claim, bool) {
+// OwnerOf returns the newest claim of a duty, if there is one. The owner still serves a
+// duty that it has released until the next claim.
+func (o *Owners) OwnerOf(d jayowner.Duty) (jayowner.Claim, bool) {
 	view := o.table.Load()
 	if view == nil {
 		return jayowner.Claim{}, false
--- a/jaynode/demand.go
+++ b/jaynode/demand.go
@@ -11,7 +11,7 @@
 // askDemand asks the owner of a pool which resources the pool needs. The owner of the
 // fleet calls it.
 func (n *Node) askDemand(ask *jaywire.AskDemand) (*jaywire.DemandReport, error) {
-	c, ok := n.members.Owners.Of(jayowner.PoolDuty(ask.Pool))
+	c, ok := n.members.Owners.OwnerOf(jayowner.PoolDuty(ask.Pool))
 	if !ok {
 		return nil, errNoOwner
 	}
@@ -33,7 +33,7 @@
 func (n *Node) demandOwned(ask *jaywire.AskDemand) *jaywire.DemandReport {
 	report := &jaywire.DemandReport{}
 	duty := n.ownedPool(ask.Pool)
-	fleet, owned := n.members.Owners.Of(jayowner.Fleet)
+	fleet, owned := n.members.Owners.OwnerOf(jayowner.Fleet)
 	if duty == nil || !duty.loaded.Load() || !owned || fleet.Fence > ask.Fence {
 		return report
 	}
@@ -44,7 +44,7 @@
 	asked := duty.ask(func() {
 		now := n.clock()
 		if ask.Surveyed && ask.SurveyedFence == duty.claim.Fence {
-			duty.pool.Surveyed(ask.Existing, micros(ask.SurveyedAtMicros), now)
+			duty.pool.InventoryRead(ask.Existing, micros(ask.SurveyedAtMicros), now)
 		}
 		duty.pool.SetVacating(vacate, now)
 		writeDemand(report, duty.pool.Demand(now))
@@ -69,7 +69,7 @@
 	report.WorkersAtLeast = uint32(d.WorkersAtLeast)
 	for _, l := range d.Loads {
 		emptyIn := l.EmptyIn.Milliseconds()
-		if l.EmptyIn == jaysched.Never {
+		if l.EmptyIn == jaysched.MaxDuration {
 			emptyIn = neverEmpty
 		}
 		report.Workers = append(report.Workers, &jaywire.WorkerLoad{
--- a/jaynode/fleetduty.go
+++ b/jaynode/fleetduty.go
@@ -55,9 +55,9 @@
 	return &fleetDuty{
 		duty: newDuty(n, claim, n.ports.Formats.Own(topicFleet, 0), fleetInbox, n.logger.WithName("fleet").WithValues("fence", claim.Fence)),
 		guard: jayfleet.Guard{
-			FencesChecked: n.settings.FencesChecked,
-			HolderTime:    n.settings.HolderTime,
-			CallTime:      inventoryTimeout,
+			FencesChecked:    n.settings.FencesChecked,
+			OwnerChangeDelay: n.settings.HolderTime,
+			CallTime:         inventoryTimeout,
 		},
 		askingDemand: map[string]bool{},
 		nextDemandAt: map[string]time.Duration{},
@@ -92,7 +92,7 @@
 			return nil, false
 		}
 	}
-	held := c.heldHosts(d.guard, d.node.members.Liveness, jayfleet.Takeover{Clock: d.node.clock(), Day: time.Now(), Started: d.node.started})
+	held := c.heldHosts(d.guard, d.node.members.Liveness, jayfleet.Takeover{Clock: d.node.clock(), WallTime: time.Now(), Started: d.node.started})
 	d.fleet = jayfleet.New(jayfleet.Settings{
 		MoveTime:        d.node.settings.MoveTime,
 		MaintenanceTime: d.node.settings.MaintenanceTime,
@@ -121,15 +121,15 @@
 	for _, w := range d.node.declarations.allWaves() {
 		progress := recorded[w.Name]
 		since := waveStartTime(w.since, progress, now, time.Now())
-		d.fleet.Declared(w.Wave, since, progress.GetMaintained(), progress.GetDone())
+		d.fleet.AddWave(w.Wave, since, progress.GetMaintained(), progress.GetDone())
 	}
-	if d.guard.MayDecide(d.journal.StuckFor()) {
+	if d.guard.MayDecide(d.journal.AppendAge()) {
 		for _, action := range d.fleet.Decide(now) {
 			d.perform(action)
 		}
 	}
-	for _, n := range d.fleet.Notes() {
-		d.logger.Info("host changed", "host", n.Host, "pool", n.Pool, "state", n.State.String(), "worker", n.Worker)
+	for _, c := range d.fleet.TakeHostChanges() {
+		d.logger.Info("host changed", "host", c.Host, "pool", c.Pool, "state", c.State.String(), "worker", c.Worker)
 	}
 	d.logStates(now)
 	d.readHosts(now)
@@ -178,7 +178,7 @@
 				d.logger.Info("inventory not read", "error", err.Error())
 				return
 			}
-			d.fleet.Listed(hosts, now)
+			d.fleet.ApplyInventory(hosts, now)
 		})
 	}()
 }
@@ -202,7 +202,7 @@
 	existing, asked, read := d.fleet.Existing(pool)
 	if clock, known := d.clocks[pool]; known && read {
 		ask.Surveyed, ask.Existing = true, existing
-		ask.SurveyedFence, ask.SurveyedAtMicros = clock.Fence, clock.NotAfter(asked).Microseconds()
+		ask.SurveyedFence, ask.SurveyedAtMicros = clock.Fence, clock.ToPeer(asked).Microseconds()
 	}
 	go func() {
 		report, err := d.node.askDemand(ask)
@@ -210,7 +210,7 @@
 			d.askingDemand[pool] = false
 			d.nextDemandAt[pool] = at + demandInterval
 			if err == nil && report.GetOwned() {
-				d.fleet.Demanded(pool, demandOf(report, now))
+				d.fleet.SetDemand(pool, demandOf(report, now))
 				d.clocks[pool] = jaymember.PeerClock{Fence: report.Fence, Clock: micros(report.ClockMicros), HeardAt: at}
 			}
 		})
--- a/jaynode/fleetduty_test.go
+++ b/jaynode/fleetduty_test.go
@@ -18,7 +18,7 @@
 	clocks map[string]jaymember.PeerClock
 }
 
-func (a fakeActors) Ended(incarnation string, _ time.Time) bool { return a.gone[incarnation] }
+func (a fakeActors) CertainlyEnded(incarnation string, _ time.Time) bool { return a.gone[incarnation] }
 
 func (a fakeActors) ClockOf(incarnation string) (jaymember.PeerClock, bool) {
 	c, known := a.clocks[incarnation]
@@ -41,8 +41,8 @@
 		gone:   map[string]bool{"gone": true},
 		clocks: map[string]jaymember.PeerClock{"peer": {Clock: 58 * time.Second, HeardAt: 8 * time.Second}},
 	}
-	guard := jayfleet.Guard{HolderTime: 3 * time.Second}
-	held := c.heldHosts(guard, peers, jayfleet.Takeover{Clock: 10 * time.Second, Day: day, Started: day.Add(-time.Minute)})
+	guard := jayfleet.Guard{OwnerChangeDelay: 3 * time.Second}
+	held := c.heldHosts(guard, peers, jayfleet.Takeover{Clock: 10 * time.Second, WallTime: day, Started: day.Add(-time.Minute)})
 	is.Equal(held, map[string]time.Duration{"unknown": 13 * time.Second, "known": 12 * time.Second})
 }
 
--- a/jaynode/heartbeats.go
+++ b/jaynode/heartbeats.go
@@ -48,79 +48,79 @@
 }
 
 // Reset begins a reload: workers without a heartbeat in it have left.
-func (r *workerHeartbeats) Reset() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, w := range r.workers {
-		r.changedPools[w.Pool] = true
+func (h *workerHeartbeats) Reset() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, w := range h.workers {
+		h.changedPools[w.Pool] = true
 	}
-	clear(r.workers)
+	clear(h.workers)
 }
 
 // Apply processes a worker's heartbeat. Heartbeats older than the newest one under the
 // same key are ignored, since they may be from a former incarnation of the worker.
-func (r *workerHeartbeats) Apply(record jayport.Record) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if record.Offset < r.offsets[record.Key] {
+func (h *workerHeartbeats) Apply(record jayport.Record) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if record.Offset < h.offsets[record.Key] {
 		return
 	}
-	r.offsets[record.Key] = record.Offset
-	if present, known := r.workers[record.Key]; known {
-		r.changedPools[present.Pool] = true
+	h.offsets[record.Key] = record.Offset
+	if present, known := h.workers[record.Key]; known {
+		h.changedPools[present.Pool] = true
 	}
 	if record.Value == nil {
-		delete(r.workers, record.Key)
-		delete(r.unreadable, record.Key)
+		delete(h.workers, record.Key)
+		delete(h.unreadable, record.Key)
 		return
 	}
-	w, err := r.formats.Reported(record)
+	w, err := h.formats.DecodeHeartbeat(record)
 	if err != nil {
 		// The heartbeat does not name a worker that can be used. A worker that was in use
 		// is handled as one that has left: its runs are still tracked.
-		delete(r.workers, record.Key)
-		r.logUnreadable(record.Key, err)
+		delete(h.workers, record.Key)
+		h.logUnreadable(record.Key, err)
 		return
 	}
-	delete(r.unreadable, record.Key)
-	r.workers[w.ID] = w
-	r.changedPools[w.Pool] = true
+	delete(h.unreadable, record.Key)
+	h.workers[w.ID] = w
+	h.changedPools[w.Pool] = true
 }
 
 // logUnreadable logs a heartbeat that cannot be decoded, once until it is replaced by a
 // readable one or removed: it may be written again every second.
-func (r *workerHeartbeats) logUnreadable(key string, err error) {
-	if r.unreadable[key] || len(r.unreadable) >= maxUnreadable {
+func (h *workerHeartbeats) logUnreadable(key string, err error) {
+	if h.unreadable[key] || len(h.unreadable) >= maxUnreadable {
 		return
 	}
-	r.unreadable[key] = true
-	r.logger.Info("worker heartbeat does not name a worker", "entry", key, "error", err.Error())
+	h.unreadable[key] = true
+	h.logger.Info("worker heartbeat does not name a worker", "entry", key, "error", err.Error())
 }
 
 // CaughtUp notifies the pools whose workers have changed.
-func (r *workerHeartbeats) CaughtUp(asOf time.Duration) {
-	r.mu.Lock()
-	r.asOf = asOf
-	if len(r.offsets) > len(r.workers)+maxOffsets {
-		maps.DeleteFunc(r.offsets, func(key string, _ int64) bool { _, present := r.workers[key]; return !present })
+func (h *workerHeartbeats) CaughtUp(asOf time.Duration) {
+	h.mu.Lock()
+	h.asOf = asOf
+	if len(h.offsets) > len(h.workers)+maxOffsets {
+		maps.DeleteFunc(h.offsets, func(key string, _ int64) bool { _, present := h.workers[key]; return !present })
 	}
-	touched := r.changedPools
-	r.changedPools = map[string]bool{}
-	r.mu.Unlock()
+	touched := h.changedPools
+	h.changedPools = map[string]bool{}
+	h.mu.Unlock()
 	for pool := range touched {
-		r.poolChanged(pool)
+		h.poolChanged(pool)
 	}
 }
 
 // of returns the workers of a pool and the time up to which the heartbeats have been
 // read.
-func (r *workerHeartbeats) of(pool string) (list []jayport.Worker, asOf time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, w := range r.workers {
+func (h *workerHeartbeats) of(pool string) (list []jayport.Worker, asOf time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, w := range h.workers {
 		if w.Pool == pool {
 			list = append(list, w)
 		}
 	}
-	return list, r.asOf
+	return list, h.asOf
 }
--- a/jaynode/intake.go
+++ b/jaynode/intake.go
@@ -49,7 +49,7 @@
 	i := &intake{node: n, logger: n.logger.WithName("intake"), link: jaypeer.NewClient(n.incarnation, storeJobTimeout, nil)}
 	for number := range n.ports.Formats.OwnPartitions() {
 		p := n.ports.Formats.Own(topicJobs, number)
-		i.journals = append(i.journals, jayjournal.New(n.store, p, n.incarnation, 1, n.clock, i.logger, jayjournal.WithRefusals(), jayjournal.WithLatency(n.store.Latency)))
+		i.journals = append(i.journals, jayjournal.New(n.store, p, n.incarnation, 1, n.clock, i.logger, jayjournal.WithFailOnReject(), jayjournal.WithLatency(n.store.Latency)))
 	}
 	return i
 }
@@ -101,7 +101,7 @@
 	return i.submitError(own)
 }
 
-// storeAtOwner asks the owner of a pool to store a job. Its errors are jayport.ErrNotDone
+// storeAtOwner asks the owner of a pool to store a job. Its errors are jayport.ErrRejected
 // and jayport.ErrNoAnswer.
 //
 // The outcome is final if this entry should not append the job itself. An owner that can
@@ -109,9 +109,9 @@
 // entries then appended as well, the partition, which processes appends one by one, would
 // reject the appends of all of them.
 func (i *intake) storeAtOwner(pool, id string, value []byte, deadline, outageWait time.Duration) (final bool, err error) {
-	c, owned := i.node.members.Owners.Of(jayowner.PoolDuty(pool))
+	c, owned := i.node.members.Owners.OwnerOf(jayowner.PoolDuty(pool))
 	if !owned {
-		return false, jayport.ErrNotDone
+		return false, jayport.ErrRejected
 	}
 	if c.Incarnation == i.node.incarnation {
 		return true, i.store(pool, id, value, deadline, outageWait)
@@ -119,7 +119,7 @@
 	if i.node.members.Liveness.Suspects(c.Incarnation) {
 		// A request to an owner that does not answer pings would block the caller until
 		// the request times out. The job can be stored without the owner.
-		return false, jayport.ErrNotDone
+		return false, jayport.ErrRejected
 	}
 	// The rest of the deadline is left for an append by this entry.
 	timeout := min(deadline*ownerShare/100, storeJobTimeout)
@@ -127,12 +127,12 @@
 	response, err := i.askOwner(c, &jaywire.PeerRequest{Body: &jaywire.PeerRequest_StoreJob{StoreJob: request}})
 	switch {
 	case errors.Is(err, jaypeer.ErrGone):
-		return false, jayport.ErrNotDone
+		return false, jayport.ErrRejected
 	case err != nil:
 		return false, jayport.ErrNoAnswer
 	}
 	stored := response.GetJobStored()
-	err = jayrelay.ErrorOf(&jaywire.StoreResult{Outcome: stored.GetOutcome()})
+	err = jayrelay.DecodeError(&jaywire.StoreResult{Outcome: stored.GetOutcome()})
 	return err == nil || !stored.GetStoreAway(), err
 }
 
@@ -155,7 +155,7 @@
 	answered := make(chan outcome, 1)
 	go func() {
 		response, err := i.link.Ask(c.Incarnation, c.PeerAddr, request)
-		i.node.members.Liveness.Pinged(c.Incarnation, err)
+		i.node.members.Liveness.RecordOutcome(c.Incarnation, err)
 		answered <- outcome{response, err}
 	}()
 	poll := time.NewTicker(suspectPollInterval)
@@ -174,7 +174,7 @@
 
 // store appends a job and passes it to the pool's duty, if this entry owns the pool.
 // While the store accepts no jobs, it retries for as long as the job may wait. Its errors
-// are jayport.ErrNotDone and jayport.ErrNoAnswer.
+// are jayport.ErrRejected and jayport.ErrNoAnswer.
 //
 // The owner also reads all jobs from the store, but a read can be blocked while appends
 // go on. Jobs that were accepted would then start only after that read had timed out.
@@ -194,7 +194,7 @@
 		if err == nil {
 			i.node.declareStored(pool, id, value)
 		}
-		if !errors.Is(err, jayport.ErrNotDone) || i.node.clock()+rejectedRetryDelay >= waitUntil {
+		if !errors.Is(err, jayport.ErrRejected) || i.node.clock()+rejectedRetryDelay >= waitUntil {
 			return err
 		}
 		time.Sleep(rejectedRetryDelay)
@@ -207,7 +207,7 @@
 // outage returns for how long the store has accepted no jobs of a pool, as far as this
 // entry knows.
 func (i *intake) outage(pool string) time.Duration {
-	return max(i.journals[i.node.partitionOf(pool)].StuckFor(), i.node.store.LostFor())
+	return max(i.journals[i.node.partitionOf(pool)].AppendAge(), i.node.store.LostFor())
 }
 
 // append appends a job. Behind an append that is stuck, the job waits until waitUntil.
@@ -215,12 +215,12 @@
 func (i *intake) append(pool, id string, value []byte, timeout, waitUntil time.Duration) error {
 	journal := i.journals[i.node.partitionOf(pool)]
 	if i.stuck(journal) && i.node.clock() >= waitUntil {
-		return jayport.ErrNotDone
+		return jayport.ErrRejected
 	}
 	answered := make(chan error, 1)
 	entry := jayjournal.NewEntry([]jayport.Record{{Key: jobKey(pool, id), Value: value}}, func(err error) { answered <- err })
 	if journal.Add(entry) != nil {
-		return jayport.ErrNotDone
+		return jayport.ErrRejected
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -229,7 +229,7 @@
 	for {
 		select {
 		case err := <-answered:
-			if err == nil || errors.Is(err, jayport.ErrNotDone) || errors.Is(err, jayport.ErrMalformed) {
+			if err == nil || errors.Is(err, jayport.ErrRejected) || errors.Is(err, jayport.ErrMalformed) {
 				return err
 			}
 			return jayport.ErrNoAnswer
@@ -237,11 +237,11 @@
 			// A job behind a stuck append is rejected once it cannot be done in time any
 			// more, instead of keeping its caller waiting.
 			if i.stuck(journal) && i.node.clock() >= waitUntil && entry.Withdraw() {
-				return jayport.ErrNotDone
+				return jayport.ErrRejected
 			}
 		case <-timer.C:
 			if entry.Withdraw() {
-				return jayport.ErrNotDone
+				return jayport.ErrRejected
 			}
 			return jayport.ErrNoAnswer
 		}
@@ -254,7 +254,7 @@
 // stuck reports whether the current append of a journal has waited for its answer for
 // longer than appends take at present.
 func (i *intake) stuck(journal *jayjournal.Journal) bool {
-	return journal.StuckFor() > max(stuckAfter, stuckLatencies*i.node.store.Latency())
+	return journal.AppendAge() > max(stuckAfter, stuckLatencies*i.node.store.Latency())
 }
 
 // storeSilenceLimit is how long this entry may be without an answer from the store before
@@ -293,7 +293,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, jayport.ErrNotDone), errors.Is(err, jayport.ErrMalformed):
+	case errors.Is(err, jayport.ErrRejected), errors.Is(err, jayport.ErrMalformed):
 		return jayverdict.NewNotRun(statusUnavailable, "the store does not take the job", retryAfter(i.node.store.LostFor()))
 	default:
 		return jayverdict.NewMayHaveRun(statusTimeout, "the job may be stored", err)
--- a/jaynode/meters.go
+++ b/jaynode/meters.go
@@ -12,7 +12,7 @@
 )
 
 // metered wraps the ports so that each call is counted in the metrics.
-func metered(ports Ports, m *jaymetric.Jobs, clock jayclock.Clock) Ports {
+func metered(ports Ports, m *jaymetric.JobMetrics, clock jayclock.Clock) Ports {
 	ports.Store = &meteredStore{Store: ports.Store, metrics: m, clock: clock}
 	ports.Workers = &meteredWorkers{Workers: ports.Workers, metrics: m, clock: clock}
 	ports.Inventory = &meteredInventory{Inventory: ports.Inventory, metrics: m}
@@ -26,7 +26,7 @@
 		return "ok"
 	case errors.Is(err, jayport.ErrNoAnswer):
 		return "noAnswer"
-	case errors.Is(err, jayport.ErrNotDone):
+	case errors.Is(err, jayport.ErrRejected):
 		return "rejected"
 	default:
 		return "refused"
@@ -36,7 +36,7 @@
 // meteredStore counts and times the calls to the store.
 type meteredStore struct {
 	jayport.Store
-	metrics *jaymetric.Jobs
+	metrics *jaymetric.JobMetrics
 	clock   jayclock.Clock
 }
 
@@ -67,7 +67,7 @@
 // meteredWorkers counts and times the orders to workers.
 type meteredWorkers struct {
 	jayport.Workers
-	metrics *jaymetric.Jobs
+	metrics *jaymetric.JobMetrics
 	clock   jayclock.Clock
 }
 
@@ -106,7 +106,7 @@
 // meteredInventory counts the commands to hosts.
 type meteredInventory struct {
 	jayport.Inventory
-	metrics *jaymetric.Jobs
+	metrics *jaymetric.JobMetrics
 }
 
 // Move assigns a host to another pool.
@@ -134,14 +134,14 @@
 }
 
 // countEvent counts an event of a pool.
-func (d *poolDuty) countEvent(note jaysched.Note) {
+func (d *poolDuty) countEvent(event jaysched.Event) {
 	m := d.node.metrics
-	m.PoolEvent(d.name, string(note.Kind))
-	switch note.Kind {
+	m.PoolEvent(d.name, string(event.Kind))
+	switch event.Kind {
 	case jaysched.RunStarted:
-		m.TaskStarted(d.name, note.Waited)
+		m.TaskStarted(d.name, event.Waited)
 	case jaysched.JobEnded:
-		m.JobEnded(d.name, note.Waited)
+		m.JobEnded(d.name, event.Waited)
 	}
 }
 
--- a/jaynode/node.go
+++ b/jaynode/node.go
@@ -48,7 +48,7 @@
 	relayPeers  *relayPeers
 	clock       jayclock.Clock
 	logger      logr.Logger
-	metrics     *jaymetric.Jobs
+	metrics     *jaymetric.JobMetrics
 	incarnation string
 	started     time.Time
 	// startedAt is the same moment on the node's clock.
@@ -79,7 +79,7 @@
 }
 
 // WithMetrics sets the metrics that the node updates.
-func WithMetrics(m *jaymetric.Jobs) Option {
+func WithMetrics(m *jaymetric.JobMetrics) Option {
 	return func(n *Node) { n.metrics = m }
 }
 
@@ -102,7 +102,7 @@
 		ports:       ports,
 		clock:       jayclock.Boot,
 		logger:      logger,
-		metrics:     jaymetric.NewJobs(),
+		metrics:     jaymetric.NewJobMetrics(),
 		incarnation: jaymember.NewIncarnation(settings.Entry),
 		started:     time.Now(),
 		pools:       map[string]*poolDuty{},
@@ -135,7 +135,7 @@
 	n.logger.Info("started", "incarnation", n.incarnation)
 	n.duties.Go(func() { n.peerServer.Serve(listener, nil) })
 	n.follow(ctx, n.ports.Formats.Declarations(), jaytail.Options{Wait: declarationsWait}, n.declarations)
-	n.follow(ctx, n.ports.Formats.Reports(), jaytail.Options{Pause: heartbeatsReadDelay, Needed: n.ownsSomething, Hurry: n.crowded}, n.heartbeats)
+	n.follow(ctx, n.ports.Formats.Heartbeats(), jaytail.Options{Pause: heartbeatsReadDelay, Needed: n.ownsAnyDuty, Urgent: n.lacksRoom}, n.heartbeats)
 	n.members.Start(ctx)
 	n.intake.start(ctx)
 	return nil
@@ -203,21 +203,21 @@
 	return n.pools[pool]
 }
 
-// crowded reports whether tasks of a pool that this entry owns wait for free capacity.
+// lacksRoom reports whether tasks of a pool that this entry owns wait for free capacity.
 // New workers are then needed at once.
-func (n *Node) crowded() bool {
+func (n *Node) lacksRoom() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, duty := range n.pools {
-		if duty.crowded.Load() {
+		if duty.lacksRoom.Load() {
 			return true
 		}
 	}
 	return false
 }
 
-// ownsSomething reports whether this entry owns any duty.
-func (n *Node) ownsSomething() bool {
+// ownsAnyDuty reports whether this entry owns any duty.
+func (n *Node) ownsAnyDuty() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.pools) > 0 || n.fleet != nil
--- a/jaynode/poolduty.go
+++ b/jaynode/poolduty.go
@@ -46,8 +46,8 @@
 	loaded atomic.Bool
 	// storedJobs is the set of IDs of the jobs that are in the store.
 	storedJobs sync.Map
-	// crowded is set while tasks wait for free capacity.
-	crowded atomic.Bool
+	// lacksRoom is set while tasks wait for free capacity.
+	lacksRoom atomic.Bool
 	// latency measures how long the pool's workers take to answer.
 	latency *jaysched.Latency
 
@@ -137,10 +137,10 @@
 	for _, action := range d.pool.Decide(now) {
 		d.perform(action)
 	}
-	d.crowded.Store(d.pool.Crowded())
+	d.lacksRoom.Store(d.pool.LacksRoom())
 	d.flush()
 	d.expire(now)
-	d.logNotes()
+	d.logEvents()
 }
 
 // ask runs a function in the duty's goroutine and waits for it. It returns false if the
@@ -218,7 +218,7 @@
 	} else {
 		d.logger.Info("advice given", "job", a.Step.Job, "step", a.Step.Step, "workers", len(a.Workers), "good", len(got.Tickets), "valid", got.Valid.String())
 	}
-	d.post(func(now time.Duration) { d.pool.Advised(a, got, err, asked, now) })
+	d.post(func(now time.Duration) { d.pool.AdviceAnswered(a, got, err, asked, now) })
 }
 
 func (d *poolDuty) startRun(a jaysched.StartRun) {
@@ -246,14 +246,14 @@
 func (d *poolDuty) renewLease(a jaysched.RenewLease) {
 	asked := d.node.clock()
 	report, err := d.node.ports.Workers.Renew(a.To, a.Order, d.latency.ReportTimeout())
-	if errors.Is(err, jayport.ErrForeign) {
+	if errors.Is(err, jayport.ErrInvalidResponse) {
 		d.logger.Info("worker report cannot be decoded", "worker", a.To.ID, "error", err.Error())
 	}
 	d.post(func(now time.Duration) {
 		switch {
 		case d.workerEnded(a.To, err, now):
 		case err != nil:
-			d.pool.Silent(a.To, now)
+			d.pool.ReportFailed(a.To, now)
 		default:
 			d.pool.Reported(a.To, report, asked, now)
 		}
@@ -284,13 +284,13 @@
 	if d.flushing || !d.pool.Recordable(d.node.clock()) {
 		return
 	}
-	batch := d.pool.Flush()
+	batch := d.pool.TakeBatch()
 	if batch == nil {
 		return
 	}
 	records := d.progressRecords(batch)
 	if len(records) == 0 {
-		d.pool.Flushed(batch, d.node.clock())
+		d.pool.BatchRecorded(batch, d.node.clock())
 		return
 	}
 	d.flushing = true
@@ -299,8 +299,8 @@
 		d.post(func(now time.Duration) {
 			d.flushing = false
 			if err == nil {
-				d.pool.Owned(asked + d.minTakeoverTime())
-				d.pool.Flushed(batch, now)
+				d.pool.SetConfirmedAt(asked + d.minTakeoverTime())
+				d.pool.BatchRecorded(batch, now)
 			}
 		})
 	})
@@ -309,29 +309,29 @@
 	}
 }
 
-func (d *poolDuty) logNotes() {
-	for _, note := range d.pool.Notes() {
-		d.countEvent(note)
-		values := []any{"at", note.At.String()}
-		if note.Job != "" {
-			values = append(values, "job", note.Job)
+func (d *poolDuty) logEvents() {
+	for _, event := range d.pool.TakeEvents() {
+		d.countEvent(event)
+		values := []any{"at", event.At.String()}
+		if event.Job != "" {
+			values = append(values, "job", event.Job)
 		}
-		if note.Worker != "" {
-			values = append(values, "worker", note.Worker)
+		if event.Worker != "" {
+			values = append(values, "worker", event.Worker)
 		}
-		if note.Run.Number > 0 {
-			values = append(values, "task", note.Run.Task.String(), "run", note.Run.Number)
+		if event.Run.Number > 0 {
+			values = append(values, "task", event.Run.Task.String(), "run", event.Run.Number)
 		}
-		if note.Detail != "" {
-			values = append(values, "detail", note.Detail)
+		if event.Detail != "" {
+			values = append(values, "detail", event.Detail)
 		}
-		if note.Waited > 0 {
-			values = append(values, "waited", note.Waited.String())
+		if event.Waited > 0 {
+			values = append(values, "waited", event.Waited.String())
 		}
-		if note.Since > 0 {
-			values = append(values, "since", note.Since.String())
+		if event.Since > 0 {
+			values = append(values, "since", event.Since.String())
 		}
-		d.logger.Info(string(note.Kind), values...)
+		d.logger.Info(string(event.Kind), values...)
 	}
 }
 
--- a/jaynode/poolownership.go
+++ b/jaynode/poolownership.go
@@ -12,7 +12,7 @@
 		return
 	}
 	if c, claimed := view.Claim(d.claim.Duty); claimed && c.Fence == d.claim.Fence {
-		d.pool.Owned(view.AsOf + d.minTakeoverTime())
+		d.pool.SetConfirmedAt(view.AsOf + d.minTakeoverTime())
 	}
 }
 
@@ -26,7 +26,7 @@
 func (d *poolDuty) detectPause(now time.Duration) {
 	if d.lastActiveAt > 0 && now-d.lastActiveAt > pauseThreshold {
 		d.logger.Info("process was paused", "lasted", (now - d.lastActiveAt).String())
-		d.pool.Doubt(now)
+		d.pool.OwnerPaused(now)
 	}
 	d.lastActiveAt = now
 }
--- a/jaynode/queries.go
+++ b/jaynode/queries.go
@@ -92,7 +92,7 @@
 func (n *Node) askUntilAnswered(pool string, deadline time.Duration, request *jaywire.PeerRequest, owned func(*jaywire.PeerResponse) bool) error {
 	until := n.clock() + deadline
 	for {
-		if c, ok := n.members.Owners.Of(jayowner.PoolDuty(pool)); ok {
+		if c, ok := n.members.Owners.OwnerOf(jayowner.PoolDuty(pool)); ok {
 			response, err := n.askIncarnation(c, request)
 			if err == nil && owned(response) {
 				return nil
@@ -122,12 +122,12 @@
 
 // askOwned answers a query for the state of a job if this entry owns its pool.
 func (n *Node) askOwned(pool, id string) *jaywire.JobAnswer {
-	settled := true
+	stateKnown := true
 	answer := n.answerOwned(pool, func(p *jaysched.Pool, now time.Duration) (jaysched.State, bool) {
-		settled = p.Settled(id, now)
+		stateKnown = p.StateKnown(id, now)
 		return p.StateOf(id, now)
 	})
-	if !settled {
+	if !stateKnown {
 		// The entry that asked retries after queryRetryDelay.
 		return &jaywire.JobAnswer{}
 	}
@@ -166,14 +166,14 @@
 	if duty == nil || !duty.loaded.Load() {
 		return answer
 	}
-	inDoubt := false
+	unconfirmed := false
 	asked := duty.ask(func() {
-		inDoubt = duty.pool.InDoubt()
+		unconfirmed = duty.pool.OwnerUnconfirmed()
 		state, known := query(duty.pool, n.clock())
 		answer.Known = known
 		answer.State = jaywire.JobState(state) + jaywire.JobState_JOB_STATE_QUEUED
 	}, askTimeout)
-	if !asked || inDoubt {
+	if !asked || unconfirmed {
 		return &jaywire.JobAnswer{}
 	}
 	// An unknown job may have been submitted a moment ago.
--- a/jaynode/relaypeers.go
+++ b/jaynode/relaypeers.go
@@ -26,7 +26,7 @@
 func (r *relayPeers) Incarnations() []string {
 	var ids []string
 	for _, e := range r.node.members.Entries.All() {
-		if e.Incarnation != r.node.incarnation && !r.node.members.Liveness.HasEnded(e.Incarnation, r.node.clock()) {
+		if e.Incarnation != r.node.incarnation && !r.node.members.Liveness.PresumedEnded(e.Incarnation, r.node.clock()) {
 			ids = append(ids, e.Incarnation)
 		}
 	}
@@ -41,11 +41,11 @@
 	if errors.Is(err, jaypeer.ErrGone) {
 		// No process of this incarnation listens at the address, so the call was not
 		// made.
-		return nil, fmt.Errorf("%w: %w", jayport.ErrNotDone, err)
+		return nil, fmt.Errorf("%w: %w", jayport.ErrRejected, err)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", jayport.ErrNoAnswer, err)
 	}
 	result := response.GetStoreResult()
-	return result, jayrelay.ErrorOf(result)
+	return result, jayrelay.DecodeError(result)
 }
--- a/jaynode/stored_test.go
+++ b/jaynode/stored_test.go
@@ -57,7 +57,7 @@
 			pool.Restore(job, record, time.Second)
 			pool.Decide(time.Second)
 			pool.Demand(time.Second)
-			pool.Flush()
+			pool.TakeBatch()
 		}
 		pool.RestoreEnded("other", jaysched.OutcomeOf(record), time.Second)
 		pool.StateOf("other", time.Second)
@@ -98,8 +98,8 @@
 // heartbeatFormats fails to decode heartbeats with the value "bad".
 type heartbeatFormats struct{ testFormats }
 
-// Reported decodes a heartbeat; its value is the worker's pool.
-func (heartbeatFormats) Reported(r jayport.Record) (jayport.Worker, error) {
+// DecodeHeartbeat decodes a heartbeat; its value is the worker's pool.
+func (heartbeatFormats) DecodeHeartbeat(r jayport.Record) (jayport.Worker, error) {
 	if string(r.Value) == "bad" {
 		return jayport.Worker{}, errors.New("no worker")
 	}
--- a/jaynode/takeover.go
+++ b/jaynode/takeover.go
@@ -55,7 +55,7 @@
 	}
 	d.jobs.finishLoad(progress)
 	d.updateWorkers(d.node.clock())
-	d.node.duties.Go(d.survey)
+	d.node.duties.Go(d.pollInventory)
 	d.node.metrics.DutyChanged(string(d.claim.Duty), "takenOver")
 	d.logger.Info("taken over", "term", d.claim.Term, "jobs", d.jobs.open, "ended", d.jobs.ended, "took", (d.node.clock() - began).String())
 	return true
@@ -68,30 +68,30 @@
 	}
 }
 
-// surveyInterval is the time between two reads of the inventory while workers do not
-// answer. Each read has a cost.
-const surveyInterval = 500 * time.Millisecond
+// inventoryPollInterval is the time between two reads of the inventory while workers do
+// not answer. Each read has a cost.
+const inventoryPollInterval = 500 * time.Millisecond
 
-// survey passes the workers in the inventory to the pool, while the pool waits for
+// pollInventory passes the workers in the inventory to the pool, while the pool waits for
 // answers from some of them.
-func (d *poolDuty) survey() {
+func (d *poolDuty) pollInventory() {
 	for d.ctx.Err() == nil {
 		needed := false
-		if !d.ask(func() { needed = d.pool.NeedsSurvey(d.node.clock()) }, askTimeout) || !needed {
-			jayclock.Sleep(d.ctx, surveyInterval/5)
+		if !d.ask(func() { needed = d.pool.NeedsInventory(d.node.clock()) }, askTimeout) || !needed {
+			jayclock.Sleep(d.ctx, inventoryPollInterval/5)
 			continue
 		}
 		asked := d.node.clock()
 		hosts, err := d.node.ports.Inventory.Hosts(inventoryTimeout)
 		if err != nil {
 			d.logger.Info("worker survey failed; retrying", "error", err.Error())
-			jayclock.Sleep(d.ctx, surveyInterval)
+			jayclock.Sleep(d.ctx, inventoryPollInterval)
 			continue
 		}
 		if !jayport.Complete(hosts) {
 			// A worker that is missing from the list may be in a row that cannot be read.
 			d.logger.Info("worker survey failed; retrying", "error", "the inventory's list has unreadable rows")
-			jayclock.Sleep(d.ctx, surveyInterval)
+			jayclock.Sleep(d.ctx, inventoryPollInterval)
 			continue
 		}
 		var ids []string
@@ -100,8 +100,8 @@
 				ids = append(ids, h.Worker)
 			}
 		}
-		d.post(func(now time.Duration) { d.pool.Surveyed(ids, asked, now) })
-		jayclock.Sleep(d.ctx, surveyInterval)
+		d.post(func(now time.Duration) { d.pool.InventoryRead(ids, asked, now) })
+		jayclock.Sleep(d.ctx, inventoryPollInterval)
 	}
 }
 
@@ -217,7 +217,7 @@
 	d.post(func(now time.Duration) {
 		d.storedJobs.Store(job.ID, true)
 		if declare(job, now) {
-			d.logger.Info("job declared", "job", job.ID, "queue", job.Queue, "steps", job.Summary(), "coreSeconds", job.Work(), "within", d.pool.TimeFor(job.ID).String(), "how", how)
+			d.logger.Info("job declared", "job", job.ID, "queue", job.Queue, "steps", job.Summary(), "coreSeconds", job.Work(), "within", d.pool.AllowedTime(job.ID).String(), "how", how)
 		}
 	})
 }
@@ -274,7 +274,7 @@
 		return
 	}
 	pool.Restore(job, progress, now)
-	t.duty.logger.Info("job declared", "job", job.ID, "queue", job.Queue, "steps", job.Summary(), "coreSeconds", job.Work(), "within", pool.TimeFor(job.ID).String(), "restored", true)
+	t.duty.logger.Info("job declared", "job", job.ID, "queue", job.Queue, "steps", job.Summary(), "coreSeconds", job.Work(), "within", pool.AllowedTime(job.ID).String(), "restored", true)
 }
 
 // finishLoad restores the jobs that were read, and the ended jobs whose declarations have
--- a/jayplan/instances.go
+++ b/jayplan/instances.go
@@ -108,7 +108,7 @@
 // have applied the drain, no request is in flight and no task is placed.
 func (r *round) drained(id string, fence uint64) bool {
 	worker, listed := r.in.Workers[id]
-	if !listed || r.in.Acked <= fence || r.busy[id] {
+	if !listed || r.in.MinAppliedOffset <= fence || r.busy[id] {
 		return false
 	}
 	if worker.State == jayplatform.Down || worker.State == jayplatform.Gone {
@@ -122,7 +122,7 @@
 func (r *round) lend() {
 	for n := range r.config.Pools {
 		borrower := r.config.Pools[n].Name
-		if r.standing(borrower).Slack() >= 0 || r.receivesInstance(borrower) {
+		if r.budgetStatus(borrower).Slack() >= 0 || r.receivesInstance(borrower) {
 			continue
 		}
 		if lent, rule := r.instanceToLend(borrower); lent != nil {
@@ -155,7 +155,7 @@
 		if !i.Available() || i.Pool == borrower || r.busy[id] {
 			continue
 		}
-		after := r.in.State.Fleet.Pool(i.Pool).StandingWithout(i, r.config.Budget(i.Pool))
+		after := r.in.State.Fleet.Pool(i.Pool).BudgetStatusWithout(i, r.config.Budget(i.Pool))
 		if after.Slack() < 0 || best != nil && after.Slack() <= bestSlack {
 			continue
 		}
@@ -174,7 +174,7 @@
 		if !i.Available() || i.Pool == i.Home || r.busy[id] {
 			continue
 		}
-		after := r.in.State.Fleet.Pool(i.Pool).StandingWithout(i, r.config.Budget(i.Pool))
+		after := r.in.State.Fleet.Pool(i.Pool).BudgetStatusWithout(i, r.config.Budget(i.Pool))
 		if after.Slack() >= 1 && r.due("give back "+id, i.Version, r.planner.settings.SettleTime) {
 			r.move(i, i.Home, false, "not needed any more")
 		}
--- a/jayport/formats.go
+++ b/jayport/formats.go
@@ -7,7 +7,7 @@
 )
 
 // Declared is the decoded content of an operator's record: CatalogDeclared, WaveDeclared or
-// NothingDeclared.
+// IgnoredRecord.
 type Declared interface {
 	isDeclared()
 }
@@ -22,12 +22,12 @@
 	Wave Wave
 }
 
-// NothingDeclared is a record that this program ignores.
-type NothingDeclared struct{}
+// IgnoredRecord is a record that this program ignores.
+type IgnoredRecord struct{}
 
 func (CatalogDeclared) isDeclared() {}
 func (WaveDeclared) isDeclared()    {}
-func (NothingDeclared) isDeclared() {}
+func (IgnoredRecord) isDeclared()   {}
 
 // Wave is a declared maintenance wave: each of its hosts is to be maintained.
 type Wave struct {
@@ -44,14 +44,14 @@
 // Formats decodes and encodes the records that the platform and its operators keep in the
 // store.
 type Formats interface {
-	// Declarations returns the partition of the operators' records, which Declared
+	// Declarations returns the partition of the operators' records, which DecodeDeclaration
 	// decodes.
 	Declarations() Partition
-	Declared(r Record) (Declared, error)
-	// Reports returns the partition of the workers' heartbeats, which Reported decodes.
-	// A record without a value means that the worker with this key has left.
-	Reports() Partition
-	Reported(r Record) (Worker, error)
+	DecodeDeclaration(r Record) (Declared, error)
+	// Heartbeats returns the partition of the workers' heartbeats, which DecodeHeartbeat
+	// decodes. A record without a value means that the worker with this key has left.
+	Heartbeats() Partition
+	DecodeHeartbeat(r Record) (Worker, error)
 	// WaveStatus returns the status record of a wave, which states to operators whether
 	// the wave is done, and the partition that it belongs to.
 	WaveStatus(wave string, done bool) (Partition, Record)
--- a/jayrelay/codec.go
+++ b/jayrelay/codec.go
@@ -120,7 +120,7 @@
 		return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_SEQUENCE, Number: sequence.Expected}
 	case errors.As(err, &expired):
 		return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_EXPIRED, Number: expired.First}
-	case errors.Is(err, jayport.ErrNotDone):
+	case errors.Is(err, jayport.ErrRejected):
 		return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_NOT_DONE}
 	case errors.Is(err, jayport.ErrMalformed):
 		return &jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_MALFORMED}
@@ -129,9 +129,9 @@
 	}
 }
 
-// ErrorOf decodes the error of a result, or nil. An outcome that this program does
+// DecodeError decodes the error of a result, or nil. An outcome that this program does
 // not know becomes jayport.ErrNoAnswer, since the call may have taken effect.
-func ErrorOf(result *jaywire.StoreResult) error {
+func DecodeError(result *jaywire.StoreResult) error {
 	switch result.GetOutcome() {
 	case jaywire.StoreOutcome_STORE_OUTCOME_GOOD:
 		return nil
@@ -144,7 +144,7 @@
 	case jaywire.StoreOutcome_STORE_OUTCOME_EXPIRED:
 		return &jayport.ExpiredError{First: result.Number}
 	case jaywire.StoreOutcome_STORE_OUTCOME_NOT_DONE:
-		return jayport.ErrNotDone
+		return jayport.ErrRejected
 	case jaywire.StoreOutcome_STORE_OUTCOME_MALFORMED:
 		return jayport.ErrMalformed
 	default:
--- a/jayrelay/relay_test.go
+++ b/jayrelay/relay_test.go
@@ -80,12 +80,12 @@
 
 func (f fakePeers) Relay(peer string, call *jaywire.StoreCall) (*jaywire.StoreResult, error) {
 	result := Serve(f[peer], call)
-	return result, ErrorOf(result)
+	return result, DecodeError(result)
 }
 
 var (
 	errSilent   = fmt.Errorf("%w: test", jayport.ErrNoAnswer)
-	errRejected = fmt.Errorf("%w: test", jayport.ErrNotDone)
+	errRejected = fmt.Errorf("%w: test", jayport.ErrRejected)
 )
 
 func newStore(direct *fakeStore, peers fakePeers) *Store {
@@ -183,20 +183,20 @@
 		is.Equal(peer.counted(), 1)
 		s = newStore(&fakeStore{err: errRejected}, fakePeers{"p1": {err: errRejected}})
 		_, err = s.Append(numbered(), time.Second)
-		is.True(errors.Is(err, jayport.ErrNotDone))
+		is.True(errors.Is(err, jayport.ErrRejected))
 	})
 }
 
 func TestErrorEncoding(t *testing.T) {
 	for _, want := range []error{
-		jayport.ErrNoAnswer, jayport.ErrNotDone, jayport.ErrMalformed,
+		jayport.ErrNoAnswer, jayport.ErrRejected, jayport.ErrMalformed,
 		&jayport.StaleError{End: 1}, &jayport.FencedError{}, &jayport.SequenceError{Expected: 2}, &jayport.ExpiredError{First: 3},
 	} {
 		t.Run(want.Error(), func(t *testing.T) {
-			is.New(t).Equal(ErrorOf(resultOf(fmt.Errorf("wrapped: %w", want))).Error(), want.Error())
+			is.New(t).Equal(DecodeError(resultOf(fmt.Errorf("wrapped: %w", want))).Error(), want.Error())
 		})
 	}
-	is.New(t).NoErr(ErrorOf(&jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_GOOD}))
+	is.New(t).NoErr(DecodeError(&jaywire.StoreResult{Outcome: jaywire.StoreOutcome_STORE_OUTCOME_GOOD}))
 }
 
 // unresponsiveStore never responds to calls that are sent while it is unavailable. They
--- a/jayreplay/crash_test.go
+++ b/jayreplay/crash_test.go
@@ -16,19 +16,19 @@
 
 // withCrashingJobs adds jobs to the burst of the first queue. One task of each job
 // crashes every worker that starts it.
-func withCrashingJobs(jobs int, after time.Duration) func(*Turns, *Load) {
-	return func(t *Turns, l *Load) {
+func withCrashingJobs(jobs int, after time.Duration) func(*SequentialBursts, *Load) {
+	return func(b *SequentialBursts, l *Load) {
 		l.RebootTime = 2500 * time.Millisecond
-		shape := t.Shapes[0]
+		queueLoad := b.QueueLoads[0]
 		for n := range jobs {
 			a := Arrival{
 				At:      warmUp + 3*time.Second + time.Duration(n)*50*time.Millisecond,
 				Crashes: []Crash{{Index: n % 2, After: after}},
 				Job: &jayspec.Job{
-					ID: fmt.Sprint("crash", n), Queue: shape.Queue, Pool: shape.Pool, Text: "text", Policy: shape.Policy,
-					Steps: []jayspec.Step{{Tasks: 2, Need: shape.Need, Estimate: shape.Takes}},
+					ID: fmt.Sprint("crash", n), Queue: queueLoad.Queue, Pool: queueLoad.Pool, Text: "text", Policy: queueLoad.Policy,
+					Steps: []jayspec.Step{{Tasks: 2, Need: queueLoad.Need, Estimate: queueLoad.MeanDuration}},
 				},
-				Takes: [][]time.Duration{{shape.Takes, shape.Takes}},
+				Durations: [][]time.Duration{{queueLoad.MeanDuration, queueLoad.MeanDuration}},
 			}
 			l.Arrivals = append(l.Arrivals, a)
 		}
@@ -39,7 +39,7 @@
 func logResult(t *testing.T, r Result) {
 	t.Helper()
 	most, given, wrongly := 0, time.Duration(0), 0
-	for _, j := range r.Sound().Jobs {
+	for _, j := range r.NotCrashing().Jobs {
 		if j.Failed > 0 {
 			wrongly++
 		}
@@ -48,10 +48,10 @@
 		most = max(most, j.Starts)
 		given = max(given, j.Failed-j.Submitted)
 	}
-	t.Logf("workers crashed %d, most starts of a task %d, longest time until given up %v; jobs wrongly given up %d of %d", r.Crashes, most, given, wrongly, len(r.Sound().Jobs))
+	t.Logf("workers crashed %d, most starts of a task %d, longest time until given up %v; jobs wrongly given up %d of %d", r.Crashes, most, given, wrongly, len(r.NotCrashing().Jobs))
 	for _, queue := range []string{"a", "b", "c", "d"} {
-		sound := r.Sound().Of(queue)
-		t.Logf("queue %s: in time %.3f, served %.3f", queue, sound.InTime(), sound.Served())
+		notCrashing := r.NotCrashing().Of(queue)
+		t.Logf("queue %s: in time %.3f, served %.3f", queue, notCrashing.InTime(), notCrashing.Served())
 	}
 }
 
@@ -59,7 +59,7 @@
 // again and again, until its pool has no workers left.
 func TestCrashingTasksAreGivenUp(t *testing.T) {
 	for _, jobs := range []int{1, 5, 20} {
-		t.Run(fmt.Sprint(jobs, " crashing jobs in a load peak"), func(t *testing.T) {
+		t.Run(fmt.Sprint(jobs, " crashing jobs in a burst"), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			r := Play(fourBursts(1, withCrashingJobs(jobs, 8*time.Millisecond)))
@@ -70,10 +70,10 @@
 				is.True(j.Failed > 0)
 			}
 			is.True(r.Crashes <= maxStarts*jobs)
-			for _, j := range r.Sound().Jobs {
+			for _, j := range r.NotCrashing().Jobs {
 				is.Equal(j.Failed, time.Duration(0)) // jobs that crash no worker are not given up
 			}
-			is.True(r.Sound().Of("a").Served() >= 0.9)
+			is.True(r.NotCrashing().Of("a").Served() >= 0.9)
 			for _, queue := range []string{"b", "c", "d"} {
 				is.Equal(r.Of(queue).Served(), 1.0) // the other queues are not affected
 			}
@@ -88,7 +88,7 @@
 		t.Run(fmt.Sprint("one outage every ", pause), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Play(fourBursts(1, func(_ *Turns, l *Load) {
+			r := Play(fourBursts(1, func(_ *SequentialBursts, l *Load) {
 				for at := time.Duration(0); at < 12*time.Second; at += pause {
 					l.Outages = append(l.Outages, Outage{At: warmUp + at, For: 500 * time.Millisecond, First: len(l.Outages) * 2, Each: 5})
 				}
--- a/jayreplay/generate.go
+++ b/jayreplay/generate.go
@@ -12,8 +12,8 @@
 	"jaythread/jayspec"
 )
 
-// Shape describes the random distribution of the jobs of a queue.
-type Shape struct {
+// QueueLoad describes the random distribution of the jobs of a queue.
+type QueueLoad struct {
 	Queue string
 	Pool  string
 	// Rate is the mean number of jobs that arrive per second.
@@ -24,26 +24,26 @@
 	Width float64
 	// Need is the mean of the resources that a task requests.
 	Need jaypool.Resources
-	// Takes is the mean run time of a task.
-	Takes time.Duration
-	// EstimateOff is the error of the declared estimates, as the standard deviation of
+	// MeanDuration is the mean run time of a task.
+	MeanDuration time.Duration
+	// EstimateSpread is the error of the declared estimates, as the standard deviation of
 	// the logarithm of estimate over actual run time.
-	EstimateOff float64
+	EstimateSpread float64
 	// Checkpoint is true if the tasks write checkpoints.
 	Checkpoint bool
 	Policy     jayspec.Policy
 }
 
-// Turns describes a load of several queues whose bursts follow one another.
-type Turns struct {
-	Shapes []Shape
+// SequentialBursts describes a load of several queues whose bursts follow one another.
+type SequentialBursts struct {
+	QueueLoads []QueueLoad
 	// Width is the duration for which the rate of a burst is above half of its maximum.
 	Width time.Duration
-	// Between is the constant part of the arrival rate, to which a burst is added, as a
+	// BaseShare is the constant part of the arrival rate, to which a burst is added, as a
 	// share of the mean rate.
-	Between float64
+	BaseShare float64
 	// Phase gives the position of a queue's burst in the sequence of bursts. A queue
-	// that is missing has its burst at its position in Shapes.
+	// that is missing has its burst at its position in QueueLoads.
 	Phase map[string]int
 	// Begin is when jobs begin to arrive.
 	Begin time.Duration
@@ -76,13 +76,13 @@
 
 // Arrivals returns the jobs of all queues for instances of the given capacity, ordered by
 // time.
-func (t Turns) Arrivals(size jaypool.Resources) []Arrival {
+func (s SequentialBursts) Arrivals(size jaypool.Resources) []Arrival {
 	var arrivals []Arrival
-	for turn, shape := range t.Shapes {
-		if phase, set := t.Phase[shape.Queue]; set {
-			turn = phase
+	for position, queueLoad := range s.QueueLoads {
+		if phase, set := s.Phase[queueLoad.Queue]; set {
+			position = phase
 		}
-		arrivals = append(arrivals, t.queueArrivals(shape, turn, size)...)
+		arrivals = append(arrivals, s.queueArrivals(queueLoad, position, size)...)
 	}
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Job.ID, b.Job.ID))
@@ -92,22 +92,22 @@
 
 // queueArrivals returns the jobs of one queue, whose burst has the given position in the
 // sequence of bursts. Arrivals are a Poisson process with a varying rate.
-func (t Turns) queueArrivals(shape Shape, turn int, size jaypool.Resources) []Arrival {
-	random := rand.New(rand.NewPCG(t.Seed, uint64(turn)))
-	each := t.For / time.Duration(len(t.Shapes))
-	center := time.Duration(turn)*each + each/2
-	most := shape.Rate * (t.Between + t.burstFactor())
+func (s SequentialBursts) queueArrivals(queueLoad QueueLoad, position int, size jaypool.Resources) []Arrival {
+	random := rand.New(rand.NewPCG(s.Seed, uint64(position)))
+	each := s.For / time.Duration(len(s.QueueLoads))
+	center := time.Duration(position)*each + each/2
+	most := queueLoad.Rate * (s.BaseShare + s.burstFactor())
 	var arrivals []Arrival
 	for at := time.Duration(0); ; {
 		at += seconds(random.ExpFloat64() / most)
-		if at >= t.For {
+		if at >= s.For {
 			break
 		}
-		widths := (at - center).Seconds() / t.Width.Seconds()
-		rate := shape.Rate * (t.Between + t.burstFactor()*math.Exp(-4*math.Ln2*widths*widths))
+		widths := (at - center).Seconds() / s.Width.Seconds()
+		rate := queueLoad.Rate * (s.BaseShare + s.burstFactor()*math.Exp(-4*math.Ln2*widths*widths))
 		if random.Float64()*most < rate {
-			id := fmt.Sprintf("%s%04d", shape.Queue, len(arrivals))
-			arrivals = append(arrivals, shape.job(id, t.Begin+at, size, random))
+			id := fmt.Sprintf("%s%04d", queueLoad.Queue, len(arrivals))
+			arrivals = append(arrivals, queueLoad.job(id, s.Begin+at, size, random))
 		}
 	}
 	return arrivals
@@ -115,32 +115,32 @@
 
 // burstFactor returns the maximum rate of a burst, as a multiple of the mean rate and
 // without the constant part.
-func (t Turns) burstFactor() float64 {
-	return (1 - t.Between) * t.For.Seconds() / t.Width.Seconds() * math.Sqrt(4*math.Ln2/math.Pi)
+func (s SequentialBursts) burstFactor() float64 {
+	return (1 - s.BaseShare) * s.For.Seconds() / s.Width.Seconds() * math.Sqrt(4*math.Ln2/math.Pi)
 }
 
-// job returns a random job of the shape.
-func (s Shape) job(id string, at time.Duration, size jaypool.Resources, random *rand.Rand) Arrival {
-	a := Arrival{At: at, Job: &jayspec.Job{ID: id, Queue: s.Queue, Pool: s.Pool, Text: "text", Policy: s.Policy}}
-	steps := min(maxSteps, max(1, int(math.Round(logNormal(random, s.Steps, sizeSpread)))))
+// job returns a random job of the queue.
+func (l QueueLoad) job(id string, at time.Duration, size jaypool.Resources, random *rand.Rand) Arrival {
+	a := Arrival{At: at, Job: &jayspec.Job{ID: id, Queue: l.Queue, Pool: l.Pool, Text: "text", Policy: l.Policy}}
+	steps := min(maxSteps, max(1, int(math.Round(logNormal(random, l.Steps, sizeSpread)))))
 	need := jaypool.Resources{
-		ProcessorsMilli: min(int64(logNormal(random, float64(s.Need.ProcessorsMilli), needSpread)), int64(maxTaskShare*float64(size.ProcessorsMilli))),
-		MemoryMegabytes: min(int64(logNormal(random, float64(s.Need.MemoryMegabytes), needSpread)), int64(maxTaskShare*float64(size.MemoryMegabytes))),
+		ProcessorsMilli: min(int64(logNormal(random, float64(l.Need.ProcessorsMilli), needSpread)), int64(maxTaskShare*float64(size.ProcessorsMilli))),
+		MemoryMegabytes: min(int64(logNormal(random, float64(l.Need.MemoryMegabytes), needSpread)), int64(maxTaskShare*float64(size.MemoryMegabytes))),
 	}
-	off := logNormal(random, 1, s.EstimateOff)
+	estimateFactor := logNormal(random, 1, l.EstimateSpread)
 	for step := range steps {
-		decl := jayspec.Step{Tasks: min(maxTasksPerStep, max(1, int(math.Round(logNormal(random, s.Width, sizeSpread))))), Need: need, Checkpoint: s.Checkpoint}
+		decl := jayspec.Step{Tasks: min(maxTasksPerStep, max(1, int(math.Round(logNormal(random, l.Width, sizeSpread))))), Need: need, Checkpoint: l.Checkpoint}
 		if step > 0 {
 			decl.After = []int{step - 1}
 		}
-		mean := logNormal(random, s.Takes.Seconds(), durationSpread)
-		decl.Estimate = seconds(mean * off)
-		var takes []time.Duration
+		mean := logNormal(random, l.MeanDuration.Seconds(), durationSpread)
+		decl.Estimate = seconds(mean * estimateFactor)
+		var durations []time.Duration
 		for range decl.Tasks {
-			takes = append(takes, seconds(logNormal(random, mean, taskSpread)))
+			durations = append(durations, seconds(logNormal(random, mean, taskSpread)))
 		}
 		a.Job.Steps = append(a.Job.Steps, decl)
-		a.Takes = append(a.Takes, takes)
+		a.Durations = append(a.Durations, durations)
 	}
 	return a
 }
--- a/jayreplay/hosts.go
+++ b/jayreplay/hosts.go
@@ -72,7 +72,7 @@
 	s.clock.every(inventoryInterval, func() {
 		asked := s.clock.now
 		list := s.listHosts()
-		s.clock.after(inventoryLatency, func() { s.fleet.Listed(list, asked) })
+		s.clock.after(inventoryLatency, func() { s.fleet.ApplyInventory(list, asked) })
 	})
 	for _, o := range s.owners {
 		s.clock.every(demandInterval, func() { s.requestDemand(o) })
@@ -81,7 +81,7 @@
 		for _, a := range s.fleet.Decide(s.clock.now) {
 			s.perform(a)
 		}
-		s.fleet.Notes()
+		s.fleet.TakeHostChanges()
 	})
 }
 
@@ -108,12 +108,12 @@
 	existing, read, known := s.fleet.Existing(o.name)
 	s.clock.after(linkLatency, func() {
 		if known {
-			o.pool.Surveyed(existing, read, s.clock.now)
+			o.pool.InventoryRead(existing, read, s.clock.now)
 		}
 		o.pool.SetVacating(orders, s.clock.now)
 		demand := fleetDemand(o.pool.Demand(s.clock.now), asked)
 		o.scheduleDecision()
-		s.clock.after(linkLatency, func() { s.fleet.Demanded(o.name, demand) })
+		s.clock.after(linkLatency, func() { s.fleet.SetDemand(o.name, demand) })
 	})
 }
 
@@ -128,7 +128,7 @@
 	}
 	for _, l := range d.Loads {
 		load := jayfleet.Load{CapacityMilli: &l.CapacityMilli, UsedMilli: l.UsedMilli, Runs: l.Runs, LongRuns: l.LongRuns, Vacated: l.Vacated, Idle: l.Idle, EmptyIn: l.EmptyIn}
-		if l.EmptyIn == jaysched.Never {
+		if l.EmptyIn == jaysched.MaxDuration {
 			load.EmptyIn = -1
 		}
 		demand.Loads[l.Worker] = load
@@ -142,7 +142,7 @@
 	case jayfleet.MoveHost:
 		s.clock.after(inventoryLatency, func() {
 			err := s.moveHost(a)
-			s.clock.after(linkLatency, func() { s.fleet.Answered(a.Host, err, s.clock.now) })
+			s.clock.after(linkLatency, func() { s.fleet.HandleAnswer(a.Host, err, s.clock.now) })
 		})
 	case jayfleet.MaintainHost, jayfleet.RecordWave:
 	}
--- a/jayreplay/load.go
+++ b/jayreplay/load.go
@@ -11,8 +11,8 @@
 type Load struct {
 	// Hosts is the number of instances in each pool at the start.
 	Hosts map[string]int
-	// Off is the number of instances that are switched off at the start.
-	Off int
+	// StandbyHosts is the number of instances that are on standby, switched off, at the start.
+	StandbyHosts int
 	// Size is the capacity of each instance.
 	Size jaypool.Resources
 	// MoveTime is how long the move of an instance to another pool takes.
@@ -26,8 +26,8 @@
 	Link float64
 	// Arrivals are the submitted jobs, ordered by time.
 	Arrivals []Arrival
-	// From is the time from which instance-seconds are counted.
-	From time.Duration
+	// MeasureFrom is the time from which instance-seconds are counted.
+	MeasureFrom time.Duration
 	// Until is the end of the simulation.
 	Until time.Duration
 }
@@ -48,9 +48,9 @@
 type Arrival struct {
 	At  time.Duration
 	Job *jayspec.Job
-	// Takes is the actual run time of each task, by step and index. Long-running tasks have
+	// Durations is the actual run time of each task, by step and index. Long-running tasks have
 	// no entry: they run until the end of the simulation.
-	Takes [][]time.Duration
+	Durations [][]time.Duration
 	// Crashes lists the tasks that crash every worker that starts them.
 	Crashes []Crash
 }
@@ -71,8 +71,8 @@
 	}
 	chain := a.Job.LongestChain(func(step int) time.Duration {
 		longest := time.Duration(0)
-		for _, takes := range a.Takes[step] {
-			longest = max(longest, takes)
+		for _, d := range a.Durations[step] {
+			longest = max(longest, d)
 		}
 		return longest
 	})
@@ -83,9 +83,9 @@
 // tasks.
 func (a *Arrival) work() float64 {
 	total := 0.0
-	for n, takes := range a.Takes {
-		for _, t := range takes {
-			total += t.Seconds() * float64(a.Job.Steps[n].Need.ProcessorsMilli) / milliPerCore
+	for n, durations := range a.Durations {
+		for _, d := range durations {
+			total += d.Seconds() * float64(a.Job.Steps[n].Need.ProcessorsMilli) / milliPerCore
 		}
 	}
 	return total
--- a/jayreplay/owner.go
+++ b/jayreplay/owner.go
@@ -30,9 +30,9 @@
 const (
 	// listInterval is the interval at which the list of workers is read.
 	listInterval = 300 * time.Millisecond
-	// crowdedListInterval is the interval at which the list of workers is read while
+	// urgentListInterval is the interval at which the list of workers is read while
 	// tasks wait for free capacity.
-	crowdedListInterval = 100 * time.Millisecond
+	urgentListInterval = 100 * time.Millisecond
 	// decisionInterval is the interval at which a pool decides even if there was no event.
 	decisionInterval = 50 * time.Millisecond
 	// leaseDuration is how long the runs on a worker go on without a renewal of its lease.
@@ -73,8 +73,8 @@
 	o.pool.Listed(list, o.sim.clock.now)
 	o.scheduleDecision()
 	pause := listInterval
-	if o.pool.Crowded() {
-		pause = crowdedListInterval
+	if o.pool.LacksRoom() {
+		pause = urgentListInterval
 	}
 	o.sim.clock.after(pause, o.listWorkers)
 }
@@ -153,7 +153,7 @@
 	var report jayport.Report
 	respond := o.handleOnce(o.latency.ReportTimeout()+a.Order.Wait, func(err error) {
 		if err != nil {
-			o.pool.Silent(a.To, c.now)
+			o.pool.ReportFailed(a.To, c.now)
 			return
 		}
 		o.pool.Reported(a.To, report, asked, c.now)
@@ -191,30 +191,30 @@
 	if o.flushing || !o.pool.Recordable(now) {
 		return
 	}
-	batch := o.pool.Flush()
+	batch := o.pool.TakeBatch()
 	if batch == nil {
 		return
 	}
 	o.flushing = true
 	o.sim.clock.after(storeLatency, func() {
 		o.flushing = false
-		o.pool.Flushed(batch, o.sim.clock.now)
+		o.pool.BatchRecorded(batch, o.sim.clock.now)
 		o.scheduleDecision()
 	})
 }
 
 // recordOutcomes records when jobs were first shown as done or failed.
 func (o *poolOwner) recordOutcomes() {
-	for _, n := range o.pool.Notes() {
-		if n.Kind != jaysched.JobRecorded {
+	for _, e := range o.pool.TakeEvents() {
+		if e.Kind != jaysched.JobRecorded {
 			continue
 		}
-		j := o.sim.jobs[n.Job]
-		switch n.Detail {
+		j := o.sim.jobs[e.Job]
+		switch e.Detail {
 		case jaysched.Done.String():
-			j.Done = cmp.Or(j.Done, n.At)
+			j.Done = cmp.Or(j.Done, e.At)
 		case jaysched.Failed.String():
-			j.Failed = cmp.Or(j.Failed, n.At)
+			j.Failed = cmp.Or(j.Failed, e.At)
 		}
 	}
 }
--- a/jayreplay/simulation_test.go
+++ b/jayreplay/simulation_test.go
@@ -17,7 +17,7 @@
 	is.True(len(once.Jobs) > 500)
 }
 
-func TestInstancesFollowLoadPeaks(t *testing.T) {
+func TestInstancesFollowBursts(t *testing.T) {
 	// Four queues have their bursts one after the other. Each burst needs several times
 	// the instances of its pool, and a move takes a fifth of a burst.
 	for seed := range uint64(3) {
@@ -63,7 +63,7 @@
 	half := jaypool.Resources{ProcessorsMilli: 5_000, MemoryMegabytes: instance.MemoryMegabytes / 2}
 	most := jaypool.Resources{ProcessorsMilli: 5_000, MemoryMegabytes: instance.MemoryMegabytes * 4 / 5}
 	load := Load{
-		Hosts: map[string]int{"seats": 2}, Off: 20, Size: instance, MoveTime: 1500 * time.Millisecond, Until: 20 * time.Second,
+		Hosts: map[string]int{"seats": 2}, StandbyHosts: 20, Size: instance, MoveTime: 1500 * time.Millisecond, Until: 20 * time.Second,
 		Arrivals: []Arrival{
 			longRunningJob("half", "seats", time.Second, 6, half, 1),
 			longRunningJob("most", "seats", 5*time.Second, 4, most, 0),
@@ -109,10 +109,10 @@
 	// off. The short tasks fill each gap that is too small for the large task, which waited
 	// for half a minute: a task was started only where it fitted at that moment.
 	is := is.New(t)
-	load := fourBursts(1, func(turns *Turns, l *Load) {
-		turns.Shapes, turns.Width = turns.Shapes[:1], 20*time.Second
-		turns.Shapes[0].Rate *= 3
-		l.Hosts, l.Off = map[string]int{"pool-a": 6}, 0
+	load := fourBursts(1, func(bursts *SequentialBursts, l *Load) {
+		bursts.QueueLoads, bursts.Width = bursts.QueueLoads[:1], 20*time.Second
+		bursts.QueueLoads[0].Rate *= 3
+		l.Hosts, l.StandbyHosts = map[string]int{"pool-a": 6}, 0
 	})
 	most := jaypool.Resources{ProcessorsMilli: 5_000, MemoryMegabytes: instance.MemoryMegabytes * 4 / 5}
 	load.Arrivals = append(load.Arrivals, longRunningJob("most", "pool-a", warmUp+15*time.Second, 3, most, 1))
--- a/jaysched/bounds_test.go
+++ b/jaysched/bounds_test.go
@@ -125,13 +125,13 @@
 	})
 	t.Run("a silent worker is asked again after 0.2 s", func(t *testing.T) {
 		is.New(t).Equal(pause(func(w *harness) {
-			w.pool.Silent(refOf("w0"), w.now)
-			w.pool.Silent(refOf("w0"), w.now)
+			w.pool.ReportFailed(refOf("w0"), w.now)
+			w.pool.ReportFailed(refOf("w0"), w.now)
 		}), 200*time.Millisecond)
 	})
 	changesAt(t, "the end of a task waits up to 40 ms to be recorded with others", 40*time.Millisecond, func(after time.Duration) bool {
 		w := newHarness(t, 1)
-		w.pool.flushedAt = w.now
+		w.pool.batchRecordedAt = w.now
 		return w.pool.Recordable(w.now + after)
 	})
 	changesAt(t, "a job that is done is shown unrecorded after 0.15 s", 150*time.Millisecond, func(after time.Duration) bool {
@@ -300,7 +300,7 @@
 	changesAt(t, "a pool is overloaded after 4.25 s without room", 4250*time.Millisecond, func(length time.Duration) bool {
 		return newOverloadedHarness(t, 12, length).pool.jobs["new"].started
 	})
-	t.Run("prospects are reviewed ten times a second", func(t *testing.T) {
+	t.Run("deadline status is reviewed ten times a second", func(t *testing.T) {
 		w := newHarness(t, 1)
 		w.pool.deadlineReviewAt = 0
 		w.pool.reviewDeadlines(w.now)
@@ -374,7 +374,7 @@
 	changesAt(t, "a failed request is repeated after 0.1 s", 100*time.Millisecond, func(after time.Duration) bool {
 		w := newAdvisedHarness(t)
 		ask, _ := w.lastAsked()
-		w.pool.Advised(ask, jayport.Advice{}, errLost, w.now, w.now)
+		w.pool.AdviceAnswered(ask, jayport.Advice{}, errLost, w.now, w.now)
 		return count[AskAdvice](w.decideUnanswered(after)) == 0
 	})
 	changesAt(t, "a ticket is not used in its last 0.15 s", 150*time.Millisecond, func(left time.Duration) bool {
--- a/jaysched/forecast_test.go
+++ b/jaysched/forecast_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestLoadSpikeIsPredictedWhileThereIsRoom(t *testing.T) {
+func TestBurstIsPredictedWhileThereIsRoom(t *testing.T) {
 	// Guards against hosts that arrive a second late in a burst: the pool has free room when
 	// the burst begins, so its first jobs run immediately, and only waiting tasks were taken as
 	// an indication of a burst.
@@ -48,18 +48,18 @@
 	is.True(need < 320_000)
 }
 
-func TestPoolIsCrowdedWhileTasksWaitForRoom(t *testing.T) {
+func TestPoolLacksRoomWhileTasksWait(t *testing.T) {
 	is := is.New(t)
 	w := newHarness(t, 1)
 	w.reports()
 	declare(w, newSpec("j", 1, func(s *jayspec.Step) { s.Tasks = 5 })) // there is room for four
-	is.True(w.pool.Crowded())
+	is.True(w.pool.LacksRoom())
 	w.addWorker("w9")
 	w.list()
 	w.run()
 	w.reports()
 	w.run()
-	is.True(!w.pool.Crowded())
+	is.True(!w.pool.LacksRoom())
 }
 
 func TestJobsWaitingToBeStoredCountAsDemand(t *testing.T) {
--- a/jaysched/harness_test.go
+++ b/jaysched/harness_test.go
@@ -124,7 +124,7 @@
 	case RenewLease:
 		f := w.workers[a.To.ID]
 		if lost || f == nil || f.silent {
-			w.pool.Silent(a.To, w.now)
+			w.pool.ReportFailed(a.To, w.now)
 			return true
 		}
 		f.acknowledge(a.Order.Acknowledged)
@@ -224,9 +224,9 @@
 
 // record records the progress of the pool.
 func (w *harness) record() *Batch {
-	b := w.pool.Flush()
+	b := w.pool.TakeBatch()
 	if b != nil {
-		w.pool.Flushed(b, w.now)
+		w.pool.BatchRecorded(b, w.now)
 	}
 	return b
 }
--- a/jaysched/incarnation_test.go
+++ b/jaysched/incarnation_test.go
@@ -64,20 +64,20 @@
 	returns("an answer shows it first", func(w *harness) {
 		w.restart("a", 2000)
 		w.pass(busyReportWait)
-		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now)
+		w.pool.ReportFailed(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now)
 		w.run()
 		is.New(w.t).Equal(w.pool.workers["a"], nil) // not used before its heartbeat is listed
 	})
 	returns("the inventory shows it first", func(w *harness) {
 		w.now += time.Millisecond
-		w.pool.Surveyed(nil, w.now, w.now)
+		w.pool.InventoryRead(nil, w.now, w.now)
 		w.restart("a", 2000)
 	})
 	returns("within the delay of one report", func(w *harness) {
 		w.restart("a", 2000)
 		w.now += busyReportWait / 2
 		w.list()
-		w.pool.Silent(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now) // of the former incarnation
+		w.pool.ReportFailed(jayport.WorkerRef{ID: "a", Incarnation: 1000, Addr: "a:1"}, w.now) // of the former incarnation
 	})
 	returns("with a clock that was set back", func(w *harness) {
 		w.restart("a", 500)
@@ -155,7 +155,7 @@
 		ended := jayport.Report{Clock: time.Hour, Ended: []jayport.EndedRun{{Number: 9, Run: run, Ending: jayport.EndedDone}}}
 		w.pool.Reported(former, ended, w.now, w.now)
 		w.pool.StopAnswered(former, run, time.Hour, nil, w.now)
-		w.pool.Silent(former, w.now)
+		w.pool.ReportFailed(former, w.now)
 		w.pool.Ended(former, "late", w.now)
 		next := w.pool.workers["a"]
 		is.Equal(next.processed, int64(0))
@@ -171,11 +171,11 @@
 		w := newIncarnationHarness(t, 1, 1000)
 		declare(w, newSpec("j", 1))
 		w.finish("j", 0, jayport.EndedDone)
-		batch := w.pool.Flush()
+		batch := w.pool.TakeBatch()
 		w.restart("a", 2000)
 		w.list()
 		w.run()
-		w.pool.Flushed(batch, w.now)
+		w.pool.BatchRecorded(batch, w.now)
 		is.Equal(w.pool.workers["a"].acknowledged, int64(0))
 	})
 	t.Run("a report of another incarnation ends it", func(t *testing.T) {
@@ -200,7 +200,7 @@
 		w.restart("a", 2000)
 		w.now += time.Millisecond
 		w.list()
-		w.pool.Advised(AskAdvice{Step: s.id, Workers: []string{"a"}}, jayport.Advice{Tickets: map[string]string{"a": "late"}, Valid: time.Hour}, nil, asked, w.now)
+		w.pool.AdviceAnswered(AskAdvice{Step: s.id, Workers: []string{"a"}}, jayport.Advice{Tickets: map[string]string{"a": "late"}, Valid: time.Hour}, nil, asked, w.now)
 		is.Equal(len(s.advice.tickets), 0)
 		is.True(!w.pool.workers["a"].health.avoided(w.now))
 	})
@@ -234,7 +234,7 @@
 		next.list() // the heartbeats of the former incarnations
 		next.restart("a", 2000)
 		next.run()
-		survey(next)
+		readInventory(next)
 		next.listAndReport()
 		is.Equal(len(next.running()), 2)
 		is.Equal(next.starts("j.0.0.0")+next.starts("j.0.0.1"), 1) // the other one continues
@@ -268,7 +268,7 @@
 func (w *harness) silenceFor(id string, d time.Duration) {
 	w.workers[id].silent = true
 	for range silentAfter {
-		w.pool.Silent(w.pool.workers[id].workerRef(), w.now)
+		w.pool.ReportFailed(w.pool.workers[id].workerRef(), w.now)
 	}
 	w.pass(d)
 }
--- a/jaysched/model_test.go
+++ b/jaysched/model_test.go
@@ -269,7 +269,7 @@
 			m.pool.StopAnswered(to, a.Run, report.Clock, err, m.now)
 		case RenewLease:
 			if err != nil {
-				m.pool.Silent(to, m.now)
+				m.pool.ReportFailed(to, m.now)
 			} else {
 				m.pool.Reported(to, report, c.asked, m.now)
 			}
@@ -298,25 +298,25 @@
 	m.pool.Listed(list, m.now)
 }
 
-// survey passes the workers in the inventory to the owner.
-func (m *model) survey() {
+// readInventory passes the workers in the inventory to the owner.
+func (m *model) readInventory() {
 	var ids []string
 	for _, id := range sortedKeys(m.workers) {
 		if m.workers[id].up {
 			ids = append(ids, id)
 		}
 	}
-	m.pool.Surveyed(ids, m.now, m.now)
+	m.pool.InventoryRead(ids, m.now, m.now)
 }
 
 // record begins to record the changed progress, or completes the recording.
 func (m *model) record() {
 	if m.pending == nil {
-		m.pending = m.pool.Flush()
+		m.pending = m.pool.TakeBatch()
 		return
 	}
 	maps.Copy(m.stored, m.pending.Progress)
-	m.pool.Flushed(m.pending, m.now)
+	m.pool.BatchRecorded(m.pending, m.now)
 	m.pending = nil
 }
 
@@ -349,7 +349,7 @@
 			}
 		}
 		m.list()
-		m.survey()
+		m.readInventory()
 		m.decide()
 		calls := m.calls
 		m.calls = nil
@@ -366,7 +366,7 @@
 			return
 		}
 	}
-	m.t.Fatalf("the jobs did not end: %v", m.pool.Notes())
+	m.t.Fatalf("the jobs did not end: %v", m.pool.TakeEvents())
 }
 
 func (m *model) finished() bool {
@@ -423,7 +423,7 @@
 				m.start(id)
 			},
 			"list":   func(*rapid.T) { m.list() },
-			"survey": func(*rapid.T) { m.survey() },
+			"survey": func(*rapid.T) { m.readInventory() },
 			"record": func(*rapid.T) { m.record() },
 			"takeOver": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "lose") > 0 {
--- a/jaysched/ownership.go
+++ b/jaysched/ownership.go
@@ -40,20 +40,20 @@
 	return func(p *Pool) { p.ownership = ownership{replaceable: true, confirmedAt: at, validFor: validFor} }
 }
 
-// Owned records that the owner had not been replaced at a time.
-func (p *Pool) Owned(at time.Duration) {
+// SetConfirmedAt records a time at which the owner had not been replaced.
+func (p *Pool) SetConfirmedAt(at time.Duration) {
 	p.ownership.confirmedAt = max(p.ownership.confirmedAt, at)
 }
 
-// Doubt records that the owner was paused until now: until it is confirmed that it has not been
-// replaced in the meantime, no run is started, and requests about jobs are not answered from
-// its state. Otherwise a job that the next owner had ended would be shown as running again.
-func (p *Pool) Doubt(now time.Duration) {
+// OwnerPaused records that the owner was paused until now: until it is confirmed that it has not
+// been replaced in the meantime, no run is started, and requests about jobs are not answered
+// from its state. Otherwise a job that the next owner had ended would be shown as running again.
+func (p *Pool) OwnerPaused(now time.Duration) {
 	p.ownership.resumedAt = now
 }
 
-// InDoubt reports whether the owner may have been replaced during a pause.
-func (p *Pool) InDoubt() bool {
+// OwnerUnconfirmed reports whether the owner may have been replaced during a pause.
+func (p *Pool) OwnerUnconfirmed() bool {
 	return !p.ownership.confirmedSince(p.ownership.resumedAt)
 }
 
@@ -64,7 +64,7 @@
 		p.ownership.askAt = now + confirmRetryDelay
 		return
 	}
-	p.Owned(asked)
+	p.SetConfirmedAt(asked)
 }
 
 // confirmedSince reports whether the owner is known not to have been replaced up to a time.
@@ -89,7 +89,7 @@
 // needsConfirmation reports whether a worker that was found, or a lease that should have ended,
 // waits for the confirmation that the owner was not replaced.
 func (p *Pool) needsConfirmation(now time.Duration) bool {
-	if p.ownership.lapsed(now) || p.InDoubt() {
+	if p.ownership.lapsed(now) || p.OwnerUnconfirmed() {
 		return true
 	}
 	for _, w := range p.sorted {
--- a/jaysched/place.go
+++ b/jaysched/place.go
@@ -10,9 +10,9 @@
 func (p *Pool) place(now time.Duration) {
 	formerRuns := p.formerRunsPossible(now)
 	p.noRoom = p.noRoom[:0]
-	p.crowded = false
+	p.lackedRoom = false
 	p.clearReservations()
-	if p.InDoubt() {
+	if p.OwnerUnconfirmed() {
 		return
 	}
 	for _, j := range p.open {
@@ -38,7 +38,7 @@
 	if now >= p.heldUntil {
 		return false
 	}
-	if !p.surveyed || len(p.unlisted) > 0 {
+	if !p.inventoryRead || len(p.unlisted) > 0 {
 		return true
 	}
 	for _, w := range p.sorted {
@@ -60,8 +60,8 @@
 		p.placeGang(s, formerRuns, now)
 		return
 	}
-	if p.lacksRoom(s) {
-		p.crowded = true
+	if p.smallerNeedUnmet(s) {
+		p.lackedRoom = true
 		return
 	}
 	for _, t := range s.tasks {
@@ -97,7 +97,7 @@
 // noWorkerFound handles a task for which no worker has room, and reserves a worker where that
 // helps. It returns false if the other tasks of its step find no worker either.
 func (p *Pool) noWorkerFound(t *task, now time.Duration) (tryNext bool) {
-	p.crowded = true
+	p.lackedRoom = true
 	if t.isolation() > watched {
 		p.reserveIsolated(t, now)
 		return true
@@ -114,10 +114,10 @@
 	}
 }
 
-// lacksRoom reports whether a step with no smaller need has just found no worker: while jobs
-// are placed, room only decreases. In a burst with hundreds of waiting jobs this avoids
+// smallerNeedUnmet reports whether a step with no smaller need has just found no worker: while
+// jobs are placed, room only decreases. In a burst with hundreds of waiting jobs this avoids
 // checking every worker for each of them.
-func (p *Pool) lacksRoom(s *step) bool {
+func (p *Pool) smallerNeedUnmet(s *step) bool {
 	need := needOf(s)
 	for _, missing := range p.noRoom {
 		if need.Fits(missing) {
@@ -153,7 +153,7 @@
 		}
 	}
 	if len(chosen) < len(s.tasks) {
-		p.crowded = true
+		p.lackedRoom = true
 		return
 	}
 	for _, t := range s.tasks {
--- a/jaysched/pool.go
+++ b/jaysched/pool.go
@@ -21,7 +21,7 @@
 	// MoveTime is how long a host takes to move from one pool to another.
 	MoveTime time.Duration
 	// FarFactor is the factor by which a task takes longer on a worker outside the rack of its
-	// data or of its step.
+	// data or of its step. It has no effect: the scheduler does not use it.
 	FarFactor float64
 }
 
@@ -87,8 +87,8 @@
 	open []*job
 	// noRoom are the needs that no worker could meet in the present decision.
 	noRoom []jaypool.Resources
-	// crowded says that some task found no worker in the latest decision.
-	crowded bool
+	// lackedRoom says that some task found no worker in the latest decision.
+	lackedRoom bool
 	// reservedForSuspects counts the workers that are reserved for suspects in the present
 	// decision.
 	reservedForSuspects int
@@ -102,8 +102,8 @@
 	deadlineReviewAt time.Duration
 	// lastRoomAt is the latest time at which no task lacked room.
 	lastRoomAt time.Duration
-	// flushedAt is the latest time at which a batch was recorded.
-	flushedAt time.Duration
+	// batchRecordedAt is the latest time at which a batch was recorded.
+	batchRecordedAt time.Duration
 	// changed are the jobs whose progress is to be recorded.
 	changed []*job
 	workers map[string]*worker
@@ -118,9 +118,9 @@
 	restoredAt  time.Duration
 	ownership   ownership
 	unknownJobs unknownJobs
-	// surveyed says that every existing worker is known, also those that the list of workers
-	// does not contain.
-	surveyed bool
+	// inventoryRead says that every existing worker is known, also those that the list of
+	// workers does not contain.
+	inventoryRead bool
 	// unlisted are the workers that exist but are not on the list.
 	unlisted map[string]bool
 	// endedWorkers are the workers with ended incarnations, by their IDs.
@@ -136,7 +136,7 @@
 	vacating      map[string]Vacate
 	vacatingUntil time.Duration
 	actions       []Action
-	notes         []Note
+	events        []Event
 	durations     *durations
 }
 
@@ -214,9 +214,9 @@
 	return known && j.recorded != Open
 }
 
-// TimeFor returns the time from a job's submission to its target, as far as its sizes are
+// AllowedTime returns the time from a job's submission to its target, as far as its sizes are
 // known, and zero for an unknown job.
-func (p *Pool) TimeFor(id string) time.Duration {
+func (p *Pool) AllowedTime(id string) time.Duration {
 	j, known := p.jobs[id]
 	if !known {
 		return 0
@@ -229,9 +229,9 @@
 	p.startsLeft = most
 }
 
-// Crowded reports whether tasks wait for room.
-func (p *Pool) Crowded() bool {
-	return p.crowded
+// LacksRoom reports whether tasks wait for room.
+func (p *Pool) LacksRoom() bool {
+	return p.lackedRoom
 }
 
 // Pending counts the open jobs of a queue of which no task has started.
@@ -288,7 +288,7 @@
 	}
 	if j.outcome == Open {
 		p.end(j, Canceled, now)
-		p.note(Note{Kind: JobEnded, Job: id, Detail: Canceled.String(), Waited: now - j.submittedAt}, now)
+		p.recordEvent(Event{Kind: JobEnded, Job: id, Detail: Canceled.String(), Waited: now - j.submittedAt}, now)
 	}
 	return true
 }
--- a/jaysched/pool_test.go
+++ b/jaysched/pool_test.go
@@ -86,8 +86,8 @@
 	w.workers["w0"].silent = true
 	w.workers["w1"].silent = true
 	w.pass(2 * time.Second) // the worker counts as silent
-	w.pool.Silent(refOf("w0"), w.now)
-	w.pool.Silent(refOf("w1"), w.now)
+	w.pool.ReportFailed(refOf("w0"), w.now)
+	w.pool.ReportFailed(refOf("w1"), w.now)
 	w.addWorker("w2")
 	w.list()
 	w.pass(time.Second)
@@ -106,7 +106,7 @@
 	declare(w, newSpec("j", 1))
 	first := w.workers["w0"]
 	first.silent = true
-	w.pool.Silent(refOf("w0"), w.now)
+	w.pool.ReportFailed(refOf("w0"), w.now)
 	w.addWorker("w1")
 	w.list()
 	w.pass(10 * time.Second)
@@ -152,7 +152,7 @@
 		spec.Steps[0].Tasks = 1
 		declare(w, spec)
 		w.finish("j", 0, jayport.EndedFailed)
-		progress := w.pool.Flush().Progress["j"]
+		progress := w.pool.TakeBatch().Progress["j"]
 		next := newHarness(t, 0, WithFence(9, 2))
 		next.workers = w.workers
 		next.pool.Restore(spec, progress, next.now)
--- a/jaysched/reports_test.go
+++ b/jaysched/reports_test.go
@@ -30,14 +30,14 @@
 	actions := w.pool.Decide(w.now)
 	is.True(renewals(append(actions, w.sent...))["w0"].Order.Wait <= busyReportWait) // it has runs that end
 	w.now += busyReportWait
-	w.pool.Silent(refOf("w0"), w.now)
+	w.pool.ReportFailed(refOf("w0"), w.now)
 	again := renewals(w.pool.Decide(w.now))["w0"]
 	is.Equal(again.To.ID, "w0")
 	is.Equal(again.Order.Wait, time.Duration(0))
 	is.Equal(again.Order.LeaseUntil, time.Duration(0)) // its lease is not extended by that
 	w.addWorker("w1")
 	is.True(w.pool.workers["w0"].usable())
-	w.pool.Silent(refOf("w0"), w.now)
+	w.pool.ReportFailed(refOf("w0"), w.now)
 	is.True(!w.pool.workers["w0"].usable())
 	w.reports()
 	is.True(w.pool.workers["w0"].usable())
@@ -55,13 +55,13 @@
 	is := is.New(t)
 	w := newHarness(t, 1)
 	declare(w, newSpec("j", 1))
-	w.pool.Notes()
+	w.pool.TakeEvents()
 	w.pass(300 * time.Millisecond)
 	w.pool.Ended(refOf("w0"), "another incarnation answers", w.now)
-	var lost []Note
-	for _, n := range w.pool.Notes() {
-		if n.Kind == RunLost {
-			lost = append(lost, n)
+	var lost []Event
+	for _, e := range w.pool.TakeEvents() {
+		if e.Kind == RunLost {
+			lost = append(lost, e)
 		}
 	}
 	is.Equal(len(lost), 2)
--- a/jaysched/restore.go
+++ b/jaysched/restore.go
@@ -35,10 +35,10 @@
 // lost one does not.
 const takeoverReportTimeout = 2 * time.Second
 
-// Settled reports whether the state of a job can be answered. A former owner may have shown the
-// job as done to its caller before that was recorded; then only the workers have the ends of
-// its tasks, and until they have reported, the job seems to be running.
-func (p *Pool) Settled(id string, now time.Duration) bool {
+// StateKnown reports whether the state of a job can be answered. A former owner may have shown
+// the job as done to its caller before that was recorded; then only the workers have the ends
+// of its tasks, and until they have reported, the job seems to be running.
+func (p *Pool) StateKnown(id string, now time.Duration) bool {
 	j, known := p.jobs[id]
 	if !known || j.outcome != Open || now >= p.restoredAt+takeoverReportTimeout || !p.formerRunsPossible(now) {
 		return true
--- a/jaysched/suspect.go
+++ b/jaysched/suspect.go
@@ -137,12 +137,12 @@
 		case r.pastCrashRisk():
 			r.task.crashes = nil
 			p.markChanged(r.task.step.job)
-			p.note(Note{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "trusted", Waited: now - r.orderedAt}, now)
+			p.recordEvent(Event{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "trusted", Waited: now - r.orderedAt}, now)
 		case r.pastStartRisk() && r.task.isolation() == isolatedStart:
 			for n := range r.task.crashes {
 				r.task.crashes[n].disproved = true
 			}
-			p.note(Note{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "its start crashed nothing", Waited: now - r.orderedAt}, now)
+			p.recordEvent(Event{Kind: TaskCleared, Worker: w.ID, Run: r.ref(), Detail: "its start crashed nothing", Waited: now - r.orderedAt}, now)
 		}
 	}
 }
--- a/jaysched/suspect_test.go
+++ b/jaysched/suspect_test.go
@@ -103,7 +103,7 @@
 			}
 		}
 		w.now += time.Millisecond
-		w.pool.Surveyed(left, w.now, w.now)
+		w.pool.InventoryRead(left, w.now, w.now)
 		for n := range 6 {
 			is.True(w.pool.jobs["j"].occurrences[0].steps[0].tasks[n].isolation() <= watched)
 		}
@@ -225,7 +225,7 @@
 			is.New(t).Equal(renewals(w.sent)[id].Order.Wait, startRiskTime)
 		}
 	})
-	t.Run("find a worker during a load spike", func(t *testing.T) {
+	t.Run("find a worker during a burst", func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 2)
 		declare(w, newSpec("j", 1, single))
@@ -302,7 +302,7 @@
 func (w *harness) silenceUntilLeaseEnds(id string) {
 	w.workers[id].silent = true
 	for range silentAfter {
-		w.pool.Silent(refOf(id), w.now)
+		w.pool.ReportFailed(refOf(id), w.now)
 	}
 	w.pass(10 * time.Second)
 }
@@ -326,7 +326,7 @@
 		}
 		w = relist(w)
 		clear(w.workers)
-		w.pool.Surveyed(nil, w.now, w.now)
+		w.pool.InventoryRead(nil, w.now, w.now)
 		w.now += rackLossWindow / 4
 		w.addWorker("next")
 		w.workers["next"].info.Rack = "r"
--- a/jayserve/exchange.go
+++ b/jayserve/exchange.go
@@ -18,7 +18,7 @@
 // serve answers the request. A returned error is of type *jayverdict.Error and
 // states whether the request may have run.
 func (x *exchange) serve() error {
-	idempotencyKey := x.ctx.Request.Header.Peek(HeaderKey)
+	idempotencyKey := x.ctx.Request.Header.Peek(HeaderIdempotencyKey)
 	if x.route.Idempotent || len(idempotencyKey) == 0 {
 		_, err := x.attempts(nil)
 		return err
@@ -40,7 +40,7 @@
 		fingerprint: jayclaim.Fingerprint(string(x.ctx.Method()), string(x.ctx.RequestURI()), x.ctx.PostBody()),
 	}
 	claimer := x.server.claimer
-	decision, err := claimer.Known(k.key, k.fingerprint, x.left())
+	decision, err := claimer.AnswerKnown(k.key, k.fingerprint, x.left())
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 
 // attempt sends the request to one upstream.
 func (x *exchange) attempt(k *keyed) (*jayclaim.Answer, error) {
-	lease, err := x.pool.Acquire(jayroute.Ticket{
+	lease, err := x.pool.Acquire(jayroute.AcquireOptions{
 		Caller:   x.caller,
 		Priority: x.route.Priority,
 		Avoid:    x.avoid,
@@ -149,7 +149,7 @@
 	if k == nil || k.claim != nil {
 		return false, nil
 	}
-	decision, err := x.server.claimer.Take(k.key, k.fingerprint, x.left())
+	decision, err := x.server.claimer.Claim(k.key, k.fingerprint, x.left())
 	if err != nil {
 		return false, &refusedBeforeAttempt{err: err}
 	}
@@ -171,10 +171,10 @@
 	req := requests.Get().(*fasthttp.Request)
 	x.fillRequest(req)
 	result, err := x.server.client.Do(jayupstream.Attempt{
-		Addr:        lease.Upstream.Addr,
-		Connections: x.view.Connections[x.route.Pool],
-		Fresh:       !x.route.Idempotent,
-		Timeout:     timeout,
+		Addr:          lease.Upstream.Addr,
+		Connections:   x.view.Connections[x.route.Pool],
+		NewConnection: !x.route.Idempotent,
+		Timeout:       timeout,
 	}, req)
 	if err == nil {
 		req.Reset()
--- a/jaytail/tail_test.go
+++ b/jaytail/tail_test.go
@@ -137,10 +137,10 @@
 	})
 	t.Run("pause is a third while Hurry returns true", func(t *testing.T) {
 		is := is.New(t)
-		hurry := false
-		tail, _ := newTail(newMemoryStore(), Options{Pause: 300 * time.Millisecond, Hurry: func() bool { return hurry }})
+		urgent := false
+		tail, _ := newTail(newMemoryStore(), Options{Pause: 300 * time.Millisecond, Urgent: func() bool { return urgent }})
 		is.Equal(tail.pause(), 300*time.Millisecond)
-		hurry = true
+		urgent = true
 		is.Equal(tail.pause(), 100*time.Millisecond)
 	})
 	t.Run("applies only keys with the prefix", func(t *testing.T) {
@@ -230,7 +230,7 @@
 		}
 		tail, got := newTail(m, Options{})
 		m.during = func() {
-			m.fail = jayport.ErrNotDone // after the first page
+			m.fail = jayport.ErrRejected // after the first page
 		}
 		is.True(tail.Step(0) != nil)
 		asOf := tail.loadStarted
@@ -275,7 +275,7 @@
 	}
 	t.Run("pauses for 0.2 s after a failed read", func(t *testing.T) {
 		m := newMemoryStore()
-		m.fail = jayport.ErrNotDone
+		m.fail = jayport.ErrRejected
 		is.New(t).Equal(reads(t, m, Options{}), 10)
 	})
 	t.Run("polls Needed every 20 ms", func(t *testing.T) {
