--- a/jayapi/server.go
+++ b/jayapi/server.go
@@ -178,7 +178,8 @@
 	}
 }
 
-var errOutcomeUnknown = errors.New("the log service has not confirmed the change; check the audit trail before repeating the change")
+// The text is part of responses to operators and must stay the same.
+var errOutcomeUnknown = errors.New("the log service has not confirmed the change; look at the audit trail before you try again")
 
 // propose passes a write of an operator to the backend and returns the decision. The
 // request must name the actor.
--- a/jaylog/committer.go
+++ b/jaylog/committer.go
@@ -27,10 +27,12 @@
 // Errors of Committer.
 var (
 	// ErrFull means that too many items are waiting. The item is not appended.
-	ErrFull = errors.New("too many items are waiting for the log service")
+	// The text is part of responses to callers and operators and must stay the same.
+	ErrFull = errors.New("too much waits for the log service")
 	// ErrTimeout means that the item was not read back from the log in time. It
-	// may still be appended by an append that was sent before.
-	ErrTimeout = errors.New("timed out waiting to read the item back from the log")
+	// may still be appended by an append that was sent before. The text is part of
+	// responses to callers and operators and must stay the same.
+	ErrTimeout = errors.New("not seen in the log in time")
 )
 
 // Encoder encodes a batch of items as one record.
