--- a/jayfleet/waves.go
+++ b/jayfleet/waves.go
@@ -141,7 +141,7 @@
 const paceShare = 0.6
 
 // atOnce returns the number of hosts that should be in maintenance now for an even pace.
-// Taking as many as the wave allows would remove a large part of the fleet in the first
+// Taking as many as the wave allows would remove a fifth of the fleet in the first
 // seconds, even while a pool's burst needs it.
 func (w *wave) atOnce(left int, round time.Duration, now time.Duration) int {
 	until := w.declaredAt + time.Duration(paceShare*float64(w.Within))
@@ -173,8 +173,9 @@
 	return l.UsedMilli + int64(l.LongRuns)*longRunCost
 }
 
-// longRunCost is the cost of interrupting a long-running task in thousandths of a core:
-// the task is unavailable while it starts on another host.
+// longRunCost is the cost of interrupting a long-running task in thousandths of a core.
+// A host with such a task is as expensive to empty as one with four more busy cores,
+// because the task is unavailable while it starts on another host.
 const longRunCost = 4000
 
 // mayVacate reports whether a host may be emptied for a wave. A host with only short runs
